--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -18,20 +18,34 @@
 from yewstage.policy import Gateway
 
 SAFE = api.RequestClass("read", aim_ms=1000, deadline_ms=4000, worth=3)
-KEYED = api.RequestClass("put", aim_ms=1000, deadline_ms=4000, worth=5, effect="keyed", key_scope="zone",
-                         window_ms=3000)
+KEYED = api.RequestClass(
+    "put", aim_ms=1000, deadline_ms=4000, worth=5, effect="keyed", key_scope="zone", window_ms=3000
+)
 UNSAFE = api.RequestClass("pay", aim_ms=1000, deadline_ms=4000, worth=5, effect="unsafe")
 PLAN = api.Plan("basic", rate=2, burst=6)
-CAPPED = api.Plan("capped", rate=5, burst=10, worth=1.4, over_worth=0.2, ceiling_rate=10, ceiling_burst=20,
-                  ceiling_slack=2)
+CAPPED = api.Plan(
+    "capped", rate=5, burst=10, worth=1.4, over_worth=0.2, ceiling_rate=10, ceiling_burst=20, ceiling_slack=2
+)
 OPEN = api.Plan("open")
 
 
 def settings(**changes: object) -> api.Settings:
     base = api.Settings(
-        classes=(SAFE, KEYED, UNSAFE), plans=(PLAN, CAPPED, OPEN), fleet_size=3, zone="a", try_limit=4,
-        cancel=True, max_retry_after_ms=2000, may_count=True, tick_ms=2,
-        drain_grace_ms=500, cold_from=0.2, cold_ms=10000, fall_multiple=3, tip_after_ms=2000)
+        classes=(SAFE, KEYED, UNSAFE),
+        plans=(PLAN, CAPPED, OPEN),
+        fleet_size=3,
+        zone="a",
+        try_limit=4,
+        cancel=True,
+        max_retry_after_ms=2000,
+        may_count=True,
+        tick_ms=2,
+        drain_grace_ms=500,
+        cold_from=0.2,
+        cold_ms=10000,
+        fall_multiple=3,
+        tip_after_ms=2000,
+    )
     return dataclasses.replace(base, **changes)
 
 
@@ -53,18 +67,34 @@
         self.log += [(self.now, act) for act in out]
         return out
 
-    def ask(self, cls: str = "read", plan: str = "open", customer: str = "c", left: float = 4000,
-            units: float = 1, after: float = 0.0, width: int = 3) -> tuple[str, list[api.Action]]:
+    def ask(
+        self,
+        cls: str = "read",
+        plan: str = "open",
+        customer: str = "c",
+        left: float = 4000,
+        units: float = 1,
+        after: float = 0.0,
+        width: int = 3,
+    ) -> tuple[str, list[api.Action]]:
         self.serial += 1
         rid = f"r{self.serial}"
         return rid, self.give(api.Request(rid, cls, plan, customer, left, units, width, 0), after)
 
-    def end(self, rid: str, result: str = api.OK, took: float = 50, attempt: int | None = None,
-            true_units: float = 0.0, after: float = 0.0) -> list[api.Action]:
+    def end(
+        self,
+        rid: str,
+        result: str = api.OK,
+        took: float = 50,
+        attempt: int | None = None,
+        true_units: float = 0.0,
+        after: float = 0.0,
+    ) -> list[api.Action]:
         sends = [a for _, a in self.log if isinstance(a, api.Send) and a.request == rid]
         n = len(sends) - 1 if attempt is None else attempt
-        return self.give(api.Outcome(rid, n, sends[n].server, result, took, result == api.OK,
-                                     true_units=true_units), after)
+        return self.give(
+            api.Outcome(rid, n, sends[n].server, result, took, result == api.OK, true_units=true_units), after
+        )
 
     def sweep(self, times: int = 1, every: float = 100) -> None:
         for _ in range(times):
@@ -86,14 +116,23 @@
 RID = b"9b1f03aa5c7e2d41"
 GRADES = [
     {"name": "read", "objective_ms": 3000.0, "deadline_ms": 6000.0, "worth": 3.0, "effect": "safe"},
-    {"name": "put", "objective_ms": 5500.0, "deadline_ms": 6000.0, "worth": 2.0, "effect": "keyed",
-     "key_scope": "all", "window_ms": 4000.0},
+    {
+        "name": "put",
+        "objective_ms": 5500.0,
+        "deadline_ms": 6000.0,
+        "worth": 2.0,
+        "effect": "keyed",
+        "key_scope": "all",
+        "window_ms": 4000.0,
+    },
     {"name": "pay", "objective_ms": 3000.0, "deadline_ms": 6000.0, "worth": 2.0, "effect": "unsafe"},
 ]
-PACKAGES = [{"name": "team", "refill": 500.0, "burst": 1000.0, "worth_factor": 1.0},
-            # Earns what a request takes before the first one can come: a start gives nothing away.
-            {"name": "quick", "refill": 1e6, "burst": 1e6, "worth_factor": 1.0},
-            {"name": "small", "refill": 1.0, "burst": 4.0, "worth_factor": 1.0, "over_cost": 1.0}]
+PACKAGES = [
+    {"name": "team", "refill": 500.0, "burst": 1000.0, "worth_factor": 1.0},
+    # Earns what a request takes before the first one can come: a start gives nothing away.
+    {"name": "quick", "refill": 1e6, "burst": 1e6, "worth_factor": 1.0},
+    {"name": "small", "refill": 1.0, "burst": 4.0, "worth_factor": 1.0, "over_cost": 1.0},
+]
 Behave = Callable[["Seen"], bytes | None]
 
 
@@ -101,13 +140,30 @@
     return b"HTTP/1.1 %d X\r\n%bContent-Length: %d\r\n\r\n%b" % (status, headers, len(body), body)
 
 
-def message(cls: str = "read", *, customer: str = "00000000b4d65521", plan: str = "team", body: bytes = b"",
-            deadline: str = "6000m", rid: bytes = RID, method: str = "", drop: str = "", more: str = "",
-            key: bool = True, target: str = "") -> bytes:
+def message(
+    cls: str = "read",
+    *,
+    customer: str = "00000000b4d65521",
+    plan: str = "team",
+    body: bytes = b"",
+    deadline: str = "6000m",
+    rid: bytes = RID,
+    method: str = "",
+    drop: str = "",
+    more: str = "",
+    key: bool = True,
+    target: str = "",
+) -> bytes:
     """A client's request as bytes; `drop` leaves a header out, `more` adds lines."""
     method = method or ("GET" if cls == "read" else "POST")
-    lines = {"Host": "origin.svc", "X-Request-Id": rid.decode(), "X-Class": cls, "Plan": plan,
-             "X-Deadline": deadline, "Quota-Info": "units=2,spread=1,first=0"}
+    lines = {
+        "Host": "origin.svc",
+        "X-Request-Id": rid.decode(),
+        "X-Class": cls,
+        "Plan": plan,
+        "X-Deadline": deadline,
+        "Quota-Info": "units=2,spread=1,first=0",
+    }
     if method == "POST":
         lines["Content-Length"] = str(len(body))
         if key:
@@ -220,15 +276,24 @@
 
 
 def instance(name: str, port: int, lifecycle: str = "ready") -> dict:
-    return {"instanceId": name, "hostPort": f"{LOOP}:{port}", "zone": "a", "machineType": "m", "cell": 0,
-            "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0}
+    return {
+        "instanceId": name,
+        "hostPort": f"{LOOP}:{port}",
+        "zone": "a",
+        "machineType": "m",
+        "cell": 0,
+        "lifecycle": lifecycle,
+        "weight": 1.0,
+        "startedAtMs": 0,
+    }
 
 
 class Rig:
     """The real program between fake hosts, a fake counter and a fake discovery."""
 
-    def __init__(self, folder: Path, *behaves: Behave, asked: bool = False, fleet: int = 1,
-                 **limits: int) -> None:
+    def __init__(
+        self, folder: Path, *behaves: Behave, asked: bool = False, fleet: int = 1, **limits: int
+    ) -> None:
         """`asked`: the list comes only on request; `fleet`: its size, of which this is the first."""
         self.folder, self.limits, self.asked, self.fleet = folder, limits, asked, fleet
         self.hosts = [Fake(b) for b in behaves]
@@ -251,17 +316,32 @@
     def write_config(self) -> Path:
         """The file that the program reads at its start and on SIGHUP."""
         config = {
-            "name": "n0", "listen": f"{LOOP}:{self.port}", "discovery": f"{LOOP}:{self.directory.fake.port}",
+            "name": "n0",
+            "listen": f"{LOOP}:{self.port}",
+            "discovery": f"{LOOP}:{self.directory.fake.port}",
             "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024, **self.limits},
             "counter": f"{LOOP}:{self.counter.port}",
             "known": self.known,
             "settings": {
-                "grades": GRADES, "packages": PACKAGES, "fleet_size": self.fleet, "me": 0, "zone": "a",
-                "tick_ms": 4.0, "membership_mode": "on_request" if self.asked else "pushed",
-                "bounds": {"try_limit": 3, "cancel": True, "retry_after": True, "max_retry_after_ms": 1000.0,
-                           "dial_timeout_ms": 250.0, "conn_idle_ms": 30000.0},
-                "family_info": {"may_count": True, "count_wait_ms": 30.0, "trued_up": True, "most_units": 4}}}
+                "grades": GRADES,
+                "packages": PACKAGES,
+                "fleet_size": self.fleet,
+                "me": 0,
+                "zone": "a",
+                "tick_ms": 4.0,
+                "membership_mode": "on_request" if self.asked else "pushed",
+                "bounds": {
+                    "try_limit": 3,
+                    "cancel": True,
+                    "retry_after": True,
+                    "max_retry_after_ms": 1000.0,
+                    "dial_timeout_ms": 250.0,
+                    "conn_idle_ms": 30000.0,
+                },
+                "family_info": {"may_count": True, "count_wait_ms": 30.0, "trued_up": True, "most_units": 4},
+            },
+        }
         path = self.folder / "config.json"
         path.write_text(json.dumps(config))
         return path
@@ -278,9 +358,17 @@
         """Start the program, again on the same port if it ran before, and wait until it is ready."""
         path = self.write_config()
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "yewstage", cwd=ROOT, stderr=asyncio.subprocess.PIPE,
-            env={**os.environ, "ROUTER_CONFIG": str(path),
-                 "ROUTER_DISCOVERY": f"{LOOP}:{self.directory.fake.port}"})
+            sys.executable,
+            "-m",
+            "yewstage",
+            cwd=ROOT,
+            stderr=asyncio.subprocess.PIPE,
+            env={
+                **os.environ,
+                "ROUTER_CONFIG": str(path),
+                "ROUTER_DISCOVERY": f"{LOOP}:{self.directory.fake.port}",
+            },
+        )
         while "listening on" not in (line := (await self.process.stderr.readline()).decode()):
             assert line, "the program ended at its start"
         self.port = int(line.rsplit(":", 1)[1])
@@ -320,7 +408,9 @@
 
 def on_loop(scenario: Callable[[], Coroutine], limit_s: float = 30.0) -> None:
     """Run a scenario; one that waits for what never happens fails at the limit."""
+
     async def bounded() -> None:
         async with asyncio.timeout(limit_s):
             await scenario()
+
     uvloop.run(bounded())  # as the program does: its loop fires timers before it reads sockets
--- a/tests/fleet_play.py
+++ b/tests/fleet_play.py
@@ -38,9 +38,16 @@
         self.rng = random.Random(self.seed)
         self.now = 1e9
         self.set_up = settings(
-            classes=(dataclasses.replace(SAFE, effect="safe"),), plans=(OPEN,), fleet_size=self.gateways,
-            cold_from=self.cold_from, cold_ms=1000 * self.cold_s, fall_multiple=self.multiple,
-            tip_after_ms=1000 * self.tip_s, conn_idle_ms=1000 * self.idle_s, may_count=False)
+            classes=(dataclasses.replace(SAFE, effect="safe"),),
+            plans=(OPEN,),
+            fleet_size=self.gateways,
+            cold_from=self.cold_from,
+            cold_ms=1000 * self.cold_s,
+            fall_multiple=self.multiple,
+            tip_after_ms=1000 * self.tip_s,
+            conn_idle_ms=1000 * self.idle_s,
+            may_count=False,
+        )
         self.servers = {f"h{i}": self._server(f"h{i}", 0.0) for i in range(self.hosts)}
         self.fleet: list[Gateway] = []
         self.queue: list[tuple[float, int, int, api.Event]] = []
@@ -139,16 +146,18 @@
                 if since + 1000 * self.tip_s >= server.up_since_ms + 1000 * self.cold_s:
                     break  # a span that ends when it is warm
                 allowed = self.budget(name, since)
-                if bisect_left(sent, since + 1000 * self.tip_s) - k > allowed + 2 * allowed ** 0.5 + 2:
+                if bisect_left(sent, since + 1000 * self.tip_s) - k > allowed + 2 * allowed**0.5 + 2:
                     out.append(name)
                     break
         return out
 
     def per_host(self, since: float, until: float) -> dict[str, float]:
         """Calls a second that each host got in a span of time."""
+
         def count(name: str) -> int:
             sent = self.sent.get(name, [])
             return bisect_left(sent, until) - bisect_left(sent, since)
+
         return {name: count(name) / (until - since) * 1000 for name in self.servers}
 
 
--- a/tests/host_play.py
+++ b/tests/host_play.py
@@ -35,7 +35,7 @@
             return rng.expovariate(1 / self.work_ms)
         if self.shape == "fixed":
             return self.work_ms
-        return rng.lognormvariate(math.log(self.work_ms) - SIGMA ** 2 / 2, SIGMA)
+        return rng.lognormvariate(math.log(self.work_ms) - SIGMA**2 / 2, SIGMA)
 
 
 @dataclasses.dataclass
@@ -71,8 +71,17 @@
 class HostPlay(EventPlay):
     """Gateways and hosts on one clock, which `times` stretches but for the gateways' own spacing."""
 
-    def __init__(self, loads: list[Load], *, gateways: int = 1, hosts: int = 60, cores: int | None = None,
-                 seed: int = 1, times: float = 1.0, fleet_size: int | None = None) -> None:
+    def __init__(
+        self,
+        loads: list[Load],
+        *,
+        gateways: int = 1,
+        hosts: int = 60,
+        cores: int | None = None,
+        seed: int = 1,
+        times: float = 1.0,
+        fleet_size: int | None = None,
+    ) -> None:
         super().__init__(random.Random(seed), 1e6)
         self.loads, self.cores, self.times = loads, cores, times
         self.free = {f"h{i}": [0.0] * (cores or 0) for i in range(hosts)}
@@ -80,8 +89,12 @@
         self.open: dict[str, Asked] = {}
         self.sent: list[tuple[float, float]] = []  # when, and how much work
         plans = {load.plan.name: load.plan for load in loads}
-        set_up = settings(classes=tuple(load.cls for load in loads), plans=tuple(plans.values()),
-                          fleet_size=fleet_size or gateways, may_count=False)
+        set_up = settings(
+            classes=tuple(load.cls for load in loads),
+            plans=tuple(plans.values()),
+            fleet_size=fleet_size or gateways,
+            may_count=False,
+        )
         self.gateways = [Gateway(dataclasses.replace(set_up, me=i), seed * 1000 + i) for i in range(gateways)]
         servers = tuple(api.Server(name, "ab"[i % 2], i % 2) for i, name in enumerate(self.free))
         for i in range(gateways):
--- a/tests/quota_play.py
+++ b/tests/quota_play.py
@@ -46,9 +46,19 @@
 class QuotaPlay(EventPlay):
     """Gateways, a counter that turns some calls away, and each customer's true store."""
 
-    def __init__(self, seed: int, plan: api.Plan, *, fleet: int = 200, width: int | None = None,
-                 asked: tuple[float, ...] = ASKED, turned_away: float = 0.0, call_ms: float = 2.0,
-                 lean: float = 0.0, units: tuple[int, ...] = (1, 2, 3)) -> None:
+    def __init__(
+        self,
+        seed: int,
+        plan: api.Plan,
+        *,
+        fleet: int = 200,
+        width: int | None = None,
+        asked: tuple[float, ...] = ASKED,
+        turned_away: float = 0.0,
+        call_ms: float = 2.0,
+        lean: float = 0.0,
+        units: tuple[int, ...] = (1, 2, 3),
+    ) -> None:
         """`asked`: each customer's requests in parts of its rate; `lean`: part of them at one gateway."""
         super().__init__(random.Random(seed), 1e6 + 1e4 * seed)
         self.plan, self.asked, self.units = plan, asked, units
@@ -78,8 +88,10 @@
     def within(self) -> float:
         """Units that all quotas together allowed of what was asked."""
         span = (self.now - self.born) / 1000
-        return sum(min(times * self.plan.rate * span, self.plan.rate * span + self.plan.burst)
-                   for times in self.asked)
+        return sum(
+            min(times * self.plan.rate * span, self.plan.rate * span + self.plan.burst)
+            for times in self.asked
+        )
 
     def _ask(self, customer: int) -> None:
         self.serial += 1
@@ -88,8 +100,12 @@
         self.open[rid] = customer, units
         place = 0 if self.rng.random() < self.lean else self.rng.randrange(self.width)
         gateway = (self.first[customer] + place) % self.fleet
-        self._give(gateway, api.Request(rid, "read", self.plan.name, f"c{customer}", 4000, units, self.width,
-                                        self.first[customer]))
+        self._give(
+            gateway,
+            api.Request(
+                rid, "read", self.plan.name, f"c{customer}", 4000, units, self.width, self.first[customer]
+            ),
+        )
 
     def _give(self, i: int, event: api.Event) -> None:
         for act in self.gateways[i].handle(self.now, event):
--- a/tests/test_acceptance_terms.py
+++ b/tests/test_acceptance_terms.py
@@ -48,24 +48,25 @@
 def test_the_window_of_a_repeat_is_carried_by_the_send_and_runs_from_the_first_decision() -> None:
     d = Driver()
     rid, out = d.ask("put")
-    first, = of(out, api.Send)
+    (first,) = of(out, api.Send)
     assert first.write_by_ms == float("inf")  # nothing may have run yet
-    again, = of(d.end(rid, api.RESET, after=700), api.Send)
+    (again,) = of(d.end(rid, api.RESET, after=700), api.Send)
     assert again.write_by_ms == KEYED.window_ms - 700 - 2 * d.gateway.s.tick_ms
     # One that was proved never to have run does not start the window.
     rid, _ = d.ask("put")
-    again, = of(d.end(rid, api.CONNECT_FAILED, after=700), api.Send)
+    (again,) = of(d.end(rid, api.CONNECT_FAILED, after=700), api.Send)
     assert again.write_by_ms == float("inf")
 
 
 def test_a_dial_that_comes_up_after_the_window_writes_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     """The connection is up, its end not told: the write asks again. The timer that ends a dial is off."""
+
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
         monkeypatch.setattr(Hosts, "_watch_write", lambda self, attempt: None)
         core, script, held, client = await dialling(monkeypatch, host, api.Fail, write_by_ms=60_000)
         await host.until(lambda fake: fake.opened == 1)
-        attempt, = core._hosts._dialling
+        (attempt,) = core._hosts._dialling
         attempt.write_by = time.monotonic() - 0.001  # the window is over
         held.let_up.set()
         assert await client.got.get() == 502
@@ -73,11 +74,13 @@
         await host.until(lambda fake: fake.closed == 1)
         assert not host.seen
         host.stop()
+
     on_loop(scenario, 3)
 
 
 def test_a_dial_under_way_ends_with_the_window_and_its_request_is_answered_then(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
         core, script = await core_with(monkeypatch, host)
@@ -90,6 +93,7 @@
         assert await client.got.get() == 502
         assert script.outcomes() == [api.WITHDRAWN] and time.monotonic() - began < 1
         host.stop()
+
     on_loop(scenario, 3)
 
 
@@ -102,11 +106,13 @@
         core.request(client, an_order())
         assert script.outcomes() == [api.WITHDRAWN] and not host.opened
         host.stop()
+
     on_loop(scenario, 3)
 
 
-async def half_written(monkeypatch: pytest.MonkeyPatch, core: Core, script: object, client: Answers,
-                       **send: float) -> str:
+async def half_written(
+    monkeypatch: pytest.MonkeyPatch, core: Core, script: object, client: Answers, **send: float
+) -> str:
     """A request whose attempt stands in our buffer, since its host reads nothing."""
     order = an_order()
     order.body = b"x" * 16_000_000
@@ -129,14 +135,17 @@
 
 @pytest.mark.parametrize("how", ["left", "window", "answered"])
 def test_what_is_half_written_is_ended_when_nobody_waits_or_its_window_is_over(
-        monkeypatch: pytest.MonkeyPatch, how: str) -> None:
+    monkeypatch: pytest.MonkeyPatch, how: str
+) -> None:
     """Its last byte would make it begin, long after; where the settings allow no cancelling, too."""
+
     async def scenario() -> None:
         host = Deaf(lambda seen: None)
         core, script = await core_with(monkeypatch, host)
         client = Answers()
-        rid = await half_written(monkeypatch, core, script, client,
-                                 write_by_ms=50 if how == "window" else float("inf"))
+        rid = await half_written(
+            monkeypatch, core, script, client, write_by_ms=50 if how == "window" else float("inf")
+        )
         if how == "left":
             core.left(rid)
         elif how == "answered":
@@ -148,6 +157,7 @@
         while core._hosts._connections:  # ended, with what it still held
             await asyncio.sleep(0)
         host.stop()
+
     on_loop(scenario, 3)  # before the guard would end it
 
 
@@ -159,17 +169,19 @@
         script.plan[api.Request] = [api.Send("r1", "s-0", 2000)]
         client = Answers()
         core.request(client, an_order())
-        attempt, = core._hosts._dialling
+        (attempt,) = core._hosts._dialling
         attempt.until, attempt.sent_at = attempt.until - 1.5, attempt.sent_at - 1.5  # a slow dial
         held.let_up.set()
         assert await client.got.get() == 200
         assert int(host.seen[0].headers["x-deadline"].removesuffix("m")) <= 500
         host.stop()
+
     on_loop(scenario, 3)
 
 
 def test_a_dial_begun_for_the_process_before_writes_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     """Same id, same address, a later start: its budget is a cold one's, and the module has to decide anew."""
+
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
         core, script, _, client = await dialling(monkeypatch, host)
@@ -178,6 +190,7 @@
         core._listed(parse_listing({"generation": 2, "reset": False, "instances": [anew]}))
         assert client.got.get_nowait() == 503 and script.outcomes() == [api.WITHDRAWN]
         host.stop()
+
     on_loop(scenario, 3)
 
 
@@ -408,14 +421,22 @@
 
 ONE = message(rid=b"0000000000000001")
 TWO = message(rid=b"0000000000000002")
-WAYS_TO_A_WRITE = ("waits for a total", "after a reset", "after a time-out", "behind unread bytes",
-                   "after a kept connection ended", "to another host")
+WAYS_TO_A_WRITE = (
+    "waits for a total",
+    "after a reset",
+    "after a time-out",
+    "behind unread bytes",
+    "after a kept connection ended",
+    "to another host",
+)
 
 
 @pytest.mark.parametrize("way", WAYS_TO_A_WRITE)
-def test_a_client_that_has_closed_has_gone_whatever_leads_to_the_write(monkeypatch: pytest.MonkeyPatch,
-                                                                        way: str) -> None:
+def test_a_client_that_has_closed_has_gone_whatever_leads_to_the_write(
+    monkeypatch: pytest.MonkeyPatch, way: str
+) -> None:
     """Its end is in the kernel and nobody has read it when the module sends: nothing may be written."""
+
     async def scenario() -> None:
         host = Fake(lambda seen: b"" if way == "after a reset" else None)
         core, script = await core_with(monkeypatch, host)
@@ -445,11 +466,13 @@
         await front.nothing_more(begun)
         assert not core._requests
         host.stop()
+
     on_loop(scenario, 5)
 
 
 def test_a_pipelined_request_is_not_sent_on_for_who_has_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     """The answer to the first one and the client's end cross: the second one begins nothing."""
+
     async def scenario() -> None:
         host = Fake(lambda seen: None)
         core, script = await core_with(monkeypatch, host)
@@ -463,12 +486,14 @@
         await front.nothing_more(0)
         assert api.OK not in script.outcomes() and not core._requests
         host.stop()
+
     on_loop(scenario, 5)
 
 
 def test_a_dial_is_called_off_with_its_client(monkeypatch: pytest.MonkeyPatch) -> None:
     """The end is read while the dial is under way, or lies unread when it has come up."""
     for read in (True, False):
+
         async def scenario(read: bool = read) -> None:
             host = Fake(lambda seen: None)
             core, script = await core_with(monkeypatch, host)
@@ -484,6 +509,7 @@
             await host.until(lambda fake: fake.closed == 1)
             assert script.outcomes() == [api.WITHDRAWN] and not host.seen and not core._requests
             host.stop()
+
         on_loop(scenario, 5)
 
 
@@ -493,6 +519,7 @@
 @pytest.mark.parametrize("sockets", [LEAST_SOCKETS, 256])
 def test_idle_clients_that_fill_the_descriptors_leave_room_for_all_else(tmp_path: Path, sockets: int) -> None:
     """The real program at the system's own limit: discovery, the counter and the hosts find a descriptor."""
+
     async def scenario() -> None:
         async with Rig(tmp_path, lambda seen: reply(b"served"), sockets=sockets) as rig:
             folder = f"/proc/{rig.process.pid}/fd"
@@ -502,6 +529,7 @@
             for fake in (rig.directory.fake, rig.counter):
                 for writer in list(fake.writers):
                     writer.transport.abort()
+
             async def hold() -> None:
                 while True:  # one that is shut comes again
                     with contextlib.suppress(ConnectionError):
@@ -517,6 +545,7 @@
                         if await rig.status(message(rid=b"%016x" % number)) == 200:
                             return
                     number += 1
+
             idle = [asyncio.create_task(hold()) for _ in range(2 * sockets)]
             # What is full keeps its share of the descriptors for clients, and answers those who ask.
             full = client_sockets(sockets)
@@ -534,6 +563,7 @@
             assert not [line for line in rig.log if "accept failed" in line or "Too many open" in line]
             for task in idle:
                 task.cancel()
+
     on_loop(scenario, 30)
 
 
@@ -557,8 +587,14 @@
 def test_a_system_limit_under_the_least_is_told_in_a_plain_line(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(resource, "getrlimit", lambda which: (64, 64))
     with pytest.raises(ConfigError, match="the system allows 64 descriptors, 128 are needed"):
-        parse({"listen": f"{LOOP}:1", "discovery": f"{LOOP}:2", "seed": "1",
-               "settings": {"grades": GRADES, "packages": PACKAGES}})
+        parse(
+            {
+                "listen": f"{LOOP}:1",
+                "discovery": f"{LOOP}:2",
+                "seed": "1",
+                "settings": {"grades": GRADES, "packages": PACKAGES},
+            }
+        )
 
 
 # --- Nine in ten restarted processes are ready within 10 s -------------------------------------------------
@@ -566,9 +602,11 @@
 
 @pytest.mark.parametrize("asked", [False, True])
 @pytest.mark.parametrize("discovery", ["silent", "refusing", "turning away", "resetting"])
-def test_a_restarted_process_is_ready_soon_however_discovery_fares(tmp_path: Path, asked: bool,
-                                                                    discovery: str) -> None:
+def test_a_restarted_process_is_ready_soon_however_discovery_fares(
+    tmp_path: Path, asked: bool, discovery: str
+) -> None:
     """From the exec on, with the list it was configured with: its own waits count, not discovery's."""
+
     async def scenario() -> None:
         async with Rig(tmp_path, lambda seen: reply(b"served"), asked=asked, fleet=200) as rig:
             rig.known = {"generation": 1, "reset": True, "instances": rig.directory.instances}
@@ -582,14 +620,21 @@
             await rig.launch()  # returns once it is ready
             assert time.monotonic() - began < READY_S
             assert await rig.status(message(rid=b"restarted")) == 200
+
     on_loop(scenario, 30)
 
 
 # --- Cold hosts fall under the sum of what all processes send ----------------------------------------------
 
 FLEETS = [  # gateways, hosts, part of them replaced at once, which gateways are fresh
-    (30, 50, 1.0, "all"), (30, 50, 1.0, "none"), (30, 50, 0.6, "all"), (30, 50, 0.6, "half"),
-    (30, 50, 0.1, "none"), (30, 50, 0.1, "all"), (20, 20, 0.8, "half"), (200, 50, 1.0, "half"),
+    (30, 50, 1.0, "all"),
+    (30, 50, 1.0, "none"),
+    (30, 50, 0.6, "all"),
+    (30, 50, 0.6, "half"),
+    (30, 50, 0.1, "none"),
+    (30, 50, 0.1, "all"),
+    (20, 20, 0.8, "half"),
+    (200, 50, 1.0, "half"),
     (200, 120, 0.6, "none"),
 ]
 RAMPS = [(1.2, 10, 15), (1.2, 5, 20), (2.5, 18, 12), (2.5, 5, 2), (4.0, 10, 20)]  # multiple, seconds, calls
@@ -598,14 +643,21 @@
 @pytest.mark.parametrize(("gateways", "hosts", "part", "fresh"), FLEETS)
 @pytest.mark.parametrize(("multiple", "cold_s", "rate"), RAMPS)
 def test_no_cold_host_falls_under_the_sum_of_what_all_send(
-        gateways: int, hosts: int, part: float, fresh: str, multiple: float, cold_s: float,
-        rate: float) -> None:
+    gateways: int, hosts: int, part: float, fresh: str, multiple: float, cold_s: float, rate: float
+) -> None:
     """A tight and a wide multiple, a short and a long ramp, thin and thick traffic, uneven over gateways."""
-    play = Play(gateways=gateways, hosts=hosts, rate=rate, multiple=multiple, cold_s=cold_s, skew=1.0,
-                seed=gateways + hosts)
+    play = Play(
+        gateways=gateways,
+        hosts=hosts,
+        rate=rate,
+        multiple=multiple,
+        cold_s=cold_s,
+        skew=1.0,
+        seed=gateways + hosts,
+    )
     if fresh != "all":
         play.run(4)
-    born = play.replace(list(play.servers)[:round(part * hosts)])
+    born = play.replace(list(play.servers)[: round(part * hosts)])
     if fresh == "half":
         for i in range(0, gateways, 2):
             play.restart(i)
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -80,6 +80,7 @@
             assert (await rig.read(client)).startswith(b"HTTP/1.1 200")
         with pytest.raises(ConnectionRefusedError):
             rig.client()
+
     on_loop(scenario, 5)
 
 
@@ -93,6 +94,7 @@
         await rig.until_taken(4)
         for client in clients:
             assert (await rig.read(client)).startswith(b"HTTP/1.1 200")
+
     on_loop(scenario, 5)
 
 
@@ -109,6 +111,7 @@
         while not rig.server.close_idle():  # and its answer was the last on it
             await asyncio.sleep(0.001)
         assert rig.core.taken == [b"a", b"b", b"c"]
+
     on_loop(scenario, 5)
 
 
@@ -125,6 +128,7 @@
         while not rig.server.close_idle():
             await asyncio.sleep(0.01)
         assert await rig.read(silent) == b""
+
     on_loop(scenario, 5)
 
 
@@ -138,6 +142,7 @@
         assert rig.server._room()  # what a third client asks for
         assert (await rig.read(oldest)).startswith(b"HTTP/1.1 200")
         assert await rig.read(second) == b""
+
     on_loop(scenario, 5)
 
 
@@ -151,6 +156,7 @@
             connection.check(rig.server.loop.time() + clients_module.IDLE_S + 1)
         assert (await rig.read(asks)).startswith(b"HTTP/1.1 200")
         assert await rig.read(silent) == b""
+
     on_loop(scenario, 5)
 
 
@@ -160,4 +166,5 @@
         rig.core.draining = rig.core.ended = True
         client = rig.client(message(rid=b"late"))
         assert (await rig.read(client)).startswith(b"HTTP/1.1 503") and not rig.core.taken
+
     on_loop(scenario, 5)
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -52,8 +52,10 @@
         return {name: tally.served for name, tally in play.run(15).tallies.items()}
 
     loads = [Load(NEAR, 45, 30), Load(FAR, 100, 31)]
-    scaled = [dataclasses.replace(load, cls=dataclasses.replace(load.cls, worth=100 * load.cls.worth))
-              for load in loads]
+    scaled = [
+        dataclasses.replace(load, cls=dataclasses.replace(load.cls, worth=100 * load.cls.worth))
+        for load in loads
+    ]
     assert served(loads) == served(loads[::-1]) == served(scaled)
 
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -112,8 +112,9 @@
     return loop.fire()
 
 
-def watch(loop: Loop, seed: int, told: list[Listing], known: int | None = 7,
-          spread_s: float = 8.0) -> Discovery:
+def watch(
+    loop: Loop, seed: int, told: list[Listing], known: int | None = 7, spread_s: float = 8.0
+) -> Discovery:
     return Discovery(loop, ("127.0.0.1", 1), told.append, random.Random(seed), known, spread_s)
 
 
@@ -188,8 +189,9 @@
 
 
 @pytest.mark.parametrize(("spread_s", "most_s"), [(0.0, 6.0), (8.0, 6.0)])
-def test_a_watch_that_falls_silent_is_opened_anew_before_it_counts_as_told(spread_s: float,
-                                                                            most_s: float) -> None:
+def test_a_watch_that_falls_silent_is_opened_anew_before_it_counts_as_told(
+    spread_s: float, most_s: float
+) -> None:
     for seed in range(20):
         loop = Loop()
         it = watch(loop, seed, [], 7, spread_s)
@@ -239,13 +241,26 @@
         assert len(loop.dials) == 1
 
 
-@pytest.mark.parametrize(("size", "must_ask", "spread_s"), [
-    (40, True, ROUND_S), (3, True, 0.6), (40, False, 0.0), (670, True, ROUND_S)])
-def test_the_spread_follows_the_fleets_size_and_the_time_to_ask(size: int, must_ask: bool,
-                                                                 spread_s: float) -> None:
-    raw = {"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "8c1f",
-           "settings": {"grades": GRADES, "packages": PACKAGES, "fleet_size": size, "me": 0,
-                        "rules": {"must_ask_in_ms": 10000.0}}}
+@pytest.mark.parametrize(
+    ("size", "must_ask", "spread_s"),
+    [(40, True, ROUND_S), (3, True, 0.6), (40, False, 0.0), (670, True, ROUND_S)],
+)
+def test_the_spread_follows_the_fleets_size_and_the_time_to_ask(
+    size: int, must_ask: bool, spread_s: float
+) -> None:
+    raw = {
+        "name": "n0",
+        "listen": "127.0.0.1:1",
+        "discovery": "127.0.0.1:2",
+        "seed": "8c1f",
+        "settings": {
+            "grades": GRADES,
+            "packages": PACKAGES,
+            "fleet_size": size,
+            "me": 0,
+            "rules": {"must_ask_in_ms": 10000.0},
+        },
+    }
     config = configuration.parse(raw)
     settings = dataclasses.replace(config.settings, must_ask=must_ask)
     assert list_spread_s(dataclasses.replace(config, settings=settings)) == pytest.approx(spread_s)
--- a/tests/test_fleet_quota.py
+++ b/tests/test_fleet_quota.py
@@ -29,8 +29,11 @@
             gateway.handle(self.now, api.ServerList("kept", tuple(server(i) for i in range(8))))
 
     def play(self, seconds: float) -> None:
-        arrivals = sorted((self.rng.random() * seconds * 1000, i) for i, times in enumerate(ASKED)
-                          for _ in range(round(seconds * times * PLAN.rate / 2)))
+        arrivals = sorted(
+            (self.rng.random() * seconds * 1000, i)
+            for i, times in enumerate(ASKED)
+            for _ in range(round(seconds * times * PLAN.rate / 2))
+        )
         last = sweep = 0.0
         for serial, (at, customer) in enumerate(arrivals):
             while sweep < at:
@@ -41,8 +44,11 @@
                 self.store[i] = min(PLAN.burst, self.store[i] + PLAN.rate * (at - last) / 1000)
             last, units = at, self.rng.choice((1, 2, 3))
             rid = f"r{serial}.{customer}.{units}"
-            self._give(self.rng.choice(self.gateways), at,
-                       api.Request(rid, "read", "team", f"c{customer}", 4000, units, FLEET, 0))
+            self._give(
+                self.rng.choice(self.gateways),
+                at,
+                api.Request(rid, "read", "team", f"c{customer}", 4000, units, FLEET, 0),
+            )
 
     def _give(self, gateway: Gateway, at: float, event: api.Event) -> None:
         events = [event]
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -52,6 +52,7 @@
             assert 0 < int(seen.headers["x-deadline"].removesuffix("m")) <= 6000
             # The units of the guess, then what the answer billed beyond it, reach the counter.
             await rig.counter.until(lambda fake: sum(rig.totals.values()) >= 2)
+
     on_loop(scenario)
 
 
@@ -63,17 +64,20 @@
             bodies = [(await read_message(reader, writer)).body for _ in range(5)]
             assert bodies == [b"id-%d" % i for i in range(5)]
             assert len(rig.hosts[0].seen) == 5
+
     on_loop(scenario)
 
 
 def test_a_refusal_comes_at_once_with_advice(tmp_path: Path) -> None:
     """What the module gives up on is not held: other answers on the way to it do not matter."""
+
     async def scenario() -> None:
         async with Rig(tmp_path, serve) as rig:
             answers = [await rig.ask(message(plan="small", rid=b"id-%d" % i)) for i in range(6)]
             refused = [a for a in answers if a.line.split()[1] == "503"]
             assert refused and len(rig.hosts[0].seen) == len(answers) - len(refused)
             assert all(0 < float(a.headers["retry-after"]) <= 1 for a in refused)
+
     on_loop(scenario, 5)  # six that were held to near their deadlines of 6 s would take longer
 
 
@@ -96,13 +100,27 @@
     (message(more="X-Class: read\r\n"), 400),
     (message(drop="Quota-Info", more="Quota-Info: units=0,spread=1,first=0\r\n"), 400),
     (message(drop="Quota-Info", more="Quota-Info: units=nan,spread=1,first=0\r\n"), 400),
-    *((message(drop="Quota-Info", more=f"Quota-Info: {info}\r\n"), 400) for info in (
-        "units=5,spread=1,first=0", "units=-400,spread=1,first=0", "units=1,spread=2,first=0",
-        "units=1,spread=0,first=0", "units=1,spread=1,first=1", "units=1,spread=1,first=-1", "units=1_0")),
+    *(
+        (message(drop="Quota-Info", more=f"Quota-Info: {info}\r\n"), 400)
+        for info in (
+            "units=5,spread=1,first=0",
+            "units=-400,spread=1,first=0",
+            "units=1,spread=2,first=0",
+            "units=1,spread=0,first=0",
+            "units=1,spread=1,first=1",
+            "units=1,spread=1,first=-1",
+            "units=1_0",
+        )
+    ),
     (message(more="Filler: " + "x" * 40000 + "\r\n"), 400),
     (message("put", body=b"x" * (64 * 1024 + 1)), 413),
-    (message("put", drop="Content-Length", more="Transfer-Encoding: chunked\r\n")
-     + b"11000\r\n" + b"x" * 0x11000 + b"\r\n0\r\n\r\n", 413),
+    (
+        message("put", drop="Content-Length", more="Transfer-Encoding: chunked\r\n")
+        + b"11000\r\n"
+        + b"x" * 0x11000
+        + b"\r\n0\r\n\r\n",
+        413,
+    ),
     *((message(drop=name), 400) for name in ("X-Request-Id", "X-Class", "Plan", "X-Deadline", "Quota-Info")),
 ]
 
@@ -115,6 +133,7 @@
             assert not rig.hosts[0].seen
             assert await rig.status(message("put", body=b"x" * 64 * 1024)) == 200  # the largest allowed
             assert rig.process.returncode is None
+
     on_loop(scenario)
 
 
@@ -128,6 +147,7 @@
             assert (await read_message(reader, writer)).body == b"first"
             assert (await read_message(reader, writer)).line.split()[1] == "400"
             assert await reader.read() == b""
+
     on_loop(scenario)
 
 
@@ -138,21 +158,26 @@
         async with Rig(tmp_path, lambda _: next(answers), lambda _: next(answers)) as rig:
             assert await rig.status(message(cls)) == status
             assert sum(len(host.seen) for host in rig.hosts) == attempts
+
     on_loop(scenario)
 
 
-@pytest.mark.parametrize(("answer", "status", "attempts"), [
-    (reply(b"", 503, b"X-Not-Run: 1\r\n"), 200, 2),
-    (reply(b"", 504, b"X-Not-Run: 1\r\n"), 200, 2),
-    (reply(b"", 503), 502, 1),
-    (reply(b"", 500), 502, 1),
-    (reply(b"", 500, b"X-Not-Run: 1\r\n"), 502, 1),
-    (reply(b"", 204), 502, 1),
-    (b"HTTP/1.1 nonsense\r\n\r\n", 502, 1),
-    (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", 502, 1),
-])
-def test_only_x_not_run_lets_an_unsafe_request_go_again(tmp_path: Path, answer: bytes, status: int,
-                                                        attempts: int) -> None:
+@pytest.mark.parametrize(
+    ("answer", "status", "attempts"),
+    [
+        (reply(b"", 503, b"X-Not-Run: 1\r\n"), 200, 2),
+        (reply(b"", 504, b"X-Not-Run: 1\r\n"), 200, 2),
+        (reply(b"", 503), 502, 1),
+        (reply(b"", 500), 502, 1),
+        (reply(b"", 500, b"X-Not-Run: 1\r\n"), 502, 1),
+        (reply(b"", 204), 502, 1),
+        (b"HTTP/1.1 nonsense\r\n\r\n", 502, 1),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", 502, 1),
+    ],
+)
+def test_only_x_not_run_lets_an_unsafe_request_go_again(
+    tmp_path: Path, answer: bytes, status: int, attempts: int
+) -> None:
     async def scenario() -> None:
         answers = iter((answer, reply(b"served")))
 
@@ -167,6 +192,7 @@
         async with Rig(tmp_path, behave) as rig:
             assert await rig.status(message("pay")) == status
             assert len(rig.hosts[0].seen) == attempts
+
     on_loop(scenario)
 
 
@@ -177,17 +203,20 @@
             for i in range(8):
                 assert await rig.status(message("pay", rid=b"id-%d" % i)) == 200
             assert len(rig.hosts[1].seen) == 8
+
     on_loop(scenario)
 
 
 def test_silence_is_failed_in_time_and_its_connection_not_used_again(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, lambda seen: None if seen.headers["x-request-id"] == "quiet" else serve(seen)
-                       ) as rig:
+        async with Rig(
+            tmp_path, lambda seen: None if seen.headers["x-request-id"] == "quiet" else serve(seen)
+        ) as rig:
             assert await rig.status(message("pay", rid=b"quiet", deadline="400m")) in (502, 504)
             await rig.hosts[0].until(lambda fake: fake.closed == 1)  # the host is told by the close
             assert await rig.status(message(rid=b"next")) == 200
             assert [s.headers["x-request-id"] for s in rig.hosts[0].seen] == ["quiet", "next"]
+
     on_loop(scenario)
 
 
@@ -200,11 +229,13 @@
             writer.close()
             await rig.hosts[0].until(lambda fake: fake.closed == 1)
             assert len(rig.hosts[0].seen) == 1
+
     on_loop(scenario, 4)  # before the attempt's own time-out would close it
 
 
 def test_a_request_behind_another_is_not_sent_on_once_its_client_has_left(tmp_path: Path) -> None:
     """While requests wait on a connection we read no further, and its end lies behind them."""
+
     async def scenario() -> None:
         async with Rig(tmp_path, silent) as rig:
             loop, client = asyncio.get_running_loop(), socket.create_connection((LOOP, rig.port))
@@ -222,6 +253,7 @@
                     pass
             assert (await rig.ask(message(rid=b"last"))).body == b"served"
             assert [s.headers["x-request-id"] for s in rig.hosts[0].seen] == ["first", "last"]
+
     on_loop(scenario)
 
 
@@ -234,11 +266,13 @@
                 assert (await read_message(reader, writer)).body == b"served"
                 await asyncio.sleep(5 * REST_S)
             assert len({id(s.writer) for s in rig.hosts[0].seen}) == 1
+
     on_loop(scenario)
 
 
 def test_an_answer_read_after_a_stall_beats_its_time_out(tmp_path: Path) -> None:
     """Our own stall must not turn an answer that came in time into a time-out."""
+
     async def scenario() -> None:
         async with Rig(tmp_path, silent) as rig:
             asked = asyncio.create_task(rig.status(message("pay")))
@@ -249,6 +283,7 @@
             await asyncio.sleep(3.3)  # past the attempt's time-out of 3 s, not past the client's 6 s
             rig.process.send_signal(signal.SIGCONT)
             assert await asked == 200
+
     on_loop(scenario)
 
 
@@ -271,6 +306,7 @@
                 assert answer.body == b"served"
                 assert answer.headers["connection"] == "close"
             assert await rig.process.wait() == 0
+
     on_loop(scenario)
 
 
@@ -283,6 +319,7 @@
             assert await asked == 504  # by the program itself, not by chance while it falls apart
             async with asyncio.timeout(3.7):
                 assert await rig.process.wait() == 0
+
     on_loop(scenario)
 
 
@@ -297,11 +334,13 @@
                 await reader.readexactly(1)
             await rig.launch()
             assert await rig.status(message(rid=b"after")) == 200
+
     on_loop(scenario)
 
 
 def test_who_only_holds_a_connection_gives_way_to_who_asks(tmp_path: Path) -> None:
     """Silent, half-sent and asked-once connections must not take the descriptors from a client that asks."""
+
     async def scenario() -> None:
         async with Rig(tmp_path, silent, sockets=128) as rig:
             reader, writer = await rig.connect()
@@ -318,11 +357,13 @@
             assert (await asked).body == b"served"
             assert (await read_message(reader, writer)).body == b"served"
             assert rig.process.returncode is None
+
     on_loop(scenario, 10)
 
 
 def test_a_connection_not_heard_yet_outlasts_those_that_had_their_answer(tmp_path: Path) -> None:
     """Closed, it would lose its first request; the client of a kept one asks again on another."""
+
     async def scenario() -> None:
         async with Rig(tmp_path, serve, sockets=128) as rig:
             reader, writer = await rig.connect()
@@ -333,14 +374,22 @@
                 await read_message(*crowd[-1])
             writer.write(message())
             assert (await read_message(reader, writer)).body == b"served"
+
     on_loop(scenario, 10)
 
 
-@pytest.mark.parametrize(("sent", "status"), [
-    (b"", None), (b"GET /api/0 HTTP/1.1\r\nX-Pad: ", b"408"),
-    (message("put", body=b"x" * 9)[:-1], b"408"), (b"GET /ready HTTP/1.1\r\n\r\nGET ", b"408")])
-def test_what_is_never_sent_whole_is_closed_in_time(tmp_path: Path, sent: bytes,
-                                                    status: bytes | None) -> None:
+@pytest.mark.parametrize(
+    ("sent", "status"),
+    [
+        (b"", None),
+        (b"GET /api/0 HTTP/1.1\r\nX-Pad: ", b"408"),
+        (message("put", body=b"x" * 9)[:-1], b"408"),
+        (b"GET /ready HTTP/1.1\r\n\r\nGET ", b"408"),
+    ],
+)
+def test_what_is_never_sent_whole_is_closed_in_time(
+    tmp_path: Path, sent: bytes, status: bytes | None
+) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve) as rig:
             reader, writer = await rig.connect()
@@ -349,11 +398,13 @@
                 answer = await reader.read()
             assert answer == b"" if status is None else b"HTTP/1.1 " + status in answer
             assert not rig.hosts[0].seen
+
     on_loop(scenario)
 
 
 def test_an_id_in_use_is_not_sent_on_twice(tmp_path: Path) -> None:
     """Hosts know a request by its id: another client's copy of an open one would be its second run."""
+
     async def scenario() -> None:
         async with Rig(tmp_path, silent) as rig:
             asked = asyncio.create_task(rig.ask(message("put")))
@@ -364,19 +415,27 @@
             assert len(rig.hosts[0].seen) == 1
             rig.hosts[0].behave = serve
             assert await rig.status(message("put")) == 200  # it is no longer in use
+
     on_loop(scenario)
 
 
 HIDDEN = b"0\r\n\r\n" + message(rid=b"hidden")
 
 
-@pytest.mark.parametrize("lines", [
-    "Content-Length: %d\r\nTransfer-Encoding: chunked\r\n",
-    "Transfer-Encoding: chunked\r\nContent-Length: %d\r\n",
-    "Content-Length: %d\r\nContent-Length: 0\r\n", "Content-Length: %d\r\nContent-Length: %d\r\n",
-    "Content-Length: -%d\r\n", "Content-Length: +%d\r\n", "Content-Length: 0x%d\r\n",
-    "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\nX: %d\r\n",
-    "Transfer-Encoding: xchunked\r\nX: %d\r\n"])
+@pytest.mark.parametrize(
+    "lines",
+    [
+        "Content-Length: %d\r\nTransfer-Encoding: chunked\r\n",
+        "Transfer-Encoding: chunked\r\nContent-Length: %d\r\n",
+        "Content-Length: %d\r\nContent-Length: 0\r\n",
+        "Content-Length: %d\r\nContent-Length: %d\r\n",
+        "Content-Length: -%d\r\n",
+        "Content-Length: +%d\r\n",
+        "Content-Length: 0x%d\r\n",
+        "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\nX: %d\r\n",
+        "Transfer-Encoding: xchunked\r\nX: %d\r\n",
+    ],
+)
 def test_framing_that_can_be_read_in_two_ways_hides_nothing(tmp_path: Path, lines: str) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve) as rig:
@@ -385,11 +444,13 @@
             writer.write(message("put", method="POST", drop="Content-Length", more=more) + HIDDEN)
             assert b"HTTP/1.1 400" in (await reader.read())
             assert b"hidden" not in [s.headers["x-request-id"].encode() for s in rig.hosts[0].seen]
+
     on_loop(scenario)
 
 
 def test_a_rejected_request_is_the_last_on_its_connection(tmp_path: Path) -> None:
     """Guards the CPU: a flood has to connect again for each bad request, and what follows is not read."""
+
     async def scenario() -> None:
         async with Rig(tmp_path, serve) as rig:
             reader, writer = await rig.connect()
@@ -398,6 +459,7 @@
             assert (answer.line.split()[1], answer.headers["connection"]) == ("400", "close")
             assert await reader.read() == b""
             assert not rig.hosts[0].seen
+
     on_loop(scenario)
 
 
@@ -409,14 +471,20 @@
             answers = await reader.read()
             assert answers.endswith(b"Connection: close\r\n\r\n") and b"HTTP/1.1 400" in answers
             assert len(rig.hosts[0].seen) == answers.count(b"HTTP/1.1 200") < 20
+
     on_loop(scenario)
 
 
-@pytest.mark.parametrize("head", [
-    message("put", drop="Content-Length", more="Content-Length: 60000000\r\n"),
-    message("put", drop="Content-Length", more="Transfer-Encoding: chunked\r\n") + b"3938700\r\n"])
+@pytest.mark.parametrize(
+    "head",
+    [
+        message("put", drop="Content-Length", more="Content-Length: 60000000\r\n"),
+        message("put", drop="Content-Length", more="Transfer-Encoding: chunked\r\n") + b"3938700\r\n",
+    ],
+)
 def test_a_huge_body_is_turned_away_unread(tmp_path: Path, head: bytes) -> None:
     """413 at once, whatever is still being sent; what is not read in the end is cut off."""
+
     async def scenario() -> None:
         async with Rig(tmp_path, serve) as rig:
             reader, writer = await rig.connect()
@@ -427,6 +495,7 @@
                     writer.write(b"x" * 1_000_000)
                     await writer.drain()
             assert await rig.status(message()) == 200
+
     on_loop(scenario)
 
 
@@ -442,6 +511,7 @@
             for i in range(6):
                 assert await rig.status(message(rid=b"more-%d" % i)) == 200
             assert (len(rig.hosts[0].seen), len(rig.hosts[1].seen)) == (6, 6)
+
     on_loop(scenario, 10)  # before an idle connection would be retired
 
 
@@ -458,17 +528,20 @@
 
             def behave(seen: Seen) -> bytes | None:  # the news waits for whoever comes on a new connection
                 return None if seen.writer is silent else directory.listing(leaves, True)
+
             fake.behave = behave
             count = len(fake.seen)
             await fake.until(lambda f: len(f.seen) > count + 1)  # answered, and asked on: the list is known
             assert asyncio.get_running_loop().time() - fell < 6.0
             bodies = {(await rig.ask(message(rid=b"after%02d" % i))).body for i in range(8)}
             assert bodies == {b"staying"}
+
     on_loop(scenario)
 
 
 def test_no_client_is_taken_before_the_agent_has_told_its_list(tmp_path: Path) -> None:
     """A restarted gateway: its configuration still calls ready what the agent knows to be leaving."""
+
     async def scenario() -> None:
         leaving, staying = (lambda seen: reply(b"leaving")), (lambda seen: reply(b"staying"))
         async with Rig(tmp_path, leaving, staying) as rig:
@@ -477,18 +550,27 @@
             await rig.process.wait()
             asked = len(directory.fake.seen)
             directory.fake.behave = lambda seen: None  # the new process asks, and is answered when we say so
-            rig.known = {"generation": 1, "reset": True,
-                         "instances": [instance("s-0", ports[0]), instance("s-1", ports[1])]}
+            rig.known = {
+                "generation": 1,
+                "reset": True,
+                "instances": [instance("s-0", ports[0]), instance("s-1", ports[1])],
+            }
             starting = asyncio.create_task(rig.launch())
             await directory.fake.until(lambda fake: len(fake.seen) > asked)
             with pytest.raises(ConnectionRefusedError):
                 await rig.connect()
-            directory.fake.behave = lambda seen: None if "wait_ms=2000" in seen.line else directory.listing(
-                [instance("s-0", ports[0], "draining"), instance("s-1", ports[1])], True)
+            directory.fake.behave = lambda seen: (
+                None
+                if "wait_ms=2000" in seen.line
+                else directory.listing(
+                    [instance("s-0", ports[0], "draining"), instance("s-1", ports[1])], True
+                )
+            )
             directory.fake.seen[-1].writer.transport.abort()  # come again
             await starting
             bodies = {(await rig.ask(message(rid=b"id-%d" % i))).body for i in range(8)}
             assert bodies == {b"staying"}
+
     on_loop(scenario)
 
 
@@ -500,16 +582,25 @@
             await rig.directory.tell([instance("s-0", rig.hosts[1].port)])
             assert await rig.status(message(rid=b"moved")) == 200
             assert [s.headers["x-request-id"] for s in rig.hosts[1].seen] == ["moved"]
+
     on_loop(scenario)
 
 
-@pytest.mark.parametrize("nonsense", [reply(b"{"), reply(b'{"generation":9,"reset":true,"instances":[{}]}'),
-                                      reply(b"", 500), b"nonsense\r\n\r\n"])
+@pytest.mark.parametrize(
+    "nonsense",
+    [
+        reply(b"{"),
+        reply(b'{"generation":9,"reset":true,"instances":[{}]}'),
+        reply(b"", 500),
+        b"nonsense\r\n\r\n",
+    ],
+)
 def test_discoverys_nonsense_keeps_the_list(tmp_path: Path, nonsense: bytes) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve) as rig:
             await rig.directory.answer_watch(lambda: nonsense)  # returns once it has asked again
             assert await rig.status(message()) == 200
+
     on_loop(scenario, 12)  # before the watch's own time-out would begin a new one
 
 
@@ -522,6 +613,7 @@
             def behave(seen: Seen) -> bytes:
                 spoilt.append(seen)
                 return answer
+
             rig.counter.behave = behave
             assert (await rig.ask(message(rid=b"first", plan="quick"))).body == b"served"
             await rig.counter.until(lambda fake: bool(spoilt))
@@ -530,6 +622,7 @@
             while len([line for line in rig.log if "counter: an answer that cannot" in line]) < len(spoilt):
                 await asyncio.sleep(0.01)
             assert len([line for line in rig.log if "WARNING" in line]) == len(spoilt)  # a line for each
+
     on_loop(scenario, 8)
 
 
@@ -543,11 +636,13 @@
                     assert await rig.status(data) == 200
             rig.counter.stop()
             assert await rig.status(message(rid=b"last", customer="0000000000000099")) == 200
+
     on_loop(scenario)
 
 
 def test_a_counter_that_cuts_connections_is_asked_for_every_new_customer(tmp_path: Path) -> None:
     """One call in three is reset, the others are answered: that is no silent counter."""
+
     async def scenario() -> None:
         def behave(seen: Seen) -> bytes:
             return b"" if len(rig.counter.seen) % 3 == 0 else adding(seen, rig.totals)
@@ -560,21 +655,31 @@
             asked = {seen.line.split("?")[0].partition(".")[0] for seen in rig.counter.seen}
             assert len(asked) == 40
             assert not any("failed" in line for line in rig.log)
+
     on_loop(scenario)
 
 
-@pytest.mark.parametrize(("raw", "field"), [
-    ("{", "ROUTER_CONFIG"),
-    ('{"settings": []}', "settings"),
-    ('{"settings": {"grades": []}, "listen": "x"}', "classes"),
-    ('{"settings": {"grades": [{"name": "a", "objective_ms": "soon"}]}}', "grades.0.objective_ms"),
-    ('{"settings": {"grades": [{"name": "a", "objective_ms": 1, "deadline_ms": 2}]}}', "listen"),
-])
+@pytest.mark.parametrize(
+    ("raw", "field"),
+    [
+        ("{", "ROUTER_CONFIG"),
+        ('{"settings": []}', "settings"),
+        ('{"settings": {"grades": []}, "listen": "x"}', "classes"),
+        ('{"settings": {"grades": [{"name": "a", "objective_ms": "soon"}]}}', "grades.0.objective_ms"),
+        ('{"settings": {"grades": [{"name": "a", "objective_ms": 1, "deadline_ms": 2}]}}', "listen"),
+    ],
+)
 def test_bad_configuration_ends_the_start_with_one_line(tmp_path: Path, raw: str, field: str) -> None:
     path = tmp_path / "config.json"
     path.write_text(raw)
-    done = subprocess.run([sys.executable, "-m", "yewstage"], cwd=ROOT, capture_output=True, text=True,
-                          check=False, env={**os.environ, "ROUTER_CONFIG": str(path)})
+    done = subprocess.run(
+        [sys.executable, "-m", "yewstage"],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        check=False,
+        env={**os.environ, "ROUTER_CONFIG": str(path)},
+    )
     assert done.returncode == 2
     assert len(done.stderr.splitlines()) == 1
     assert field in done.stderr
@@ -598,14 +703,17 @@
 @pytest.mark.parametrize("answer", SPOILT)
 def test_a_spoilt_answer_is_a_failed_attempt_and_no_fault_of_its_host(tmp_path: Path, answer: bytes) -> None:
     """It ends its attempt at once, may have run, and neither its bytes nor its connection are used."""
+
     async def scenario() -> None:
-        async with Rig(tmp_path, lambda seen: answer if seen.headers["x-request-id"] == "bad" else serve(seen)
-                       ) as rig:
+        async with Rig(
+            tmp_path, lambda seen: answer if seen.headers["x-request-id"] == "bad" else serve(seen)
+        ) as rig:
             assert await rig.status(message("pay", rid=b"bad")) == 502  # unsafe: not sent again
             await rig.hosts[0].until(lambda fake: fake.closed == 1)
             for i in range(3):  # a host that was thought to have died would be left to rest
                 assert await rig.status(message("pay", rid=b"id-%d" % i)) == 200
             assert rig.process.returncode is None
+
     on_loop(scenario, 5)
 
 
@@ -613,6 +721,7 @@
 @pytest.mark.parametrize("more", [reply(b"copy"), b"noise\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-"])
 def test_what_follows_a_good_answer_is_nobodys_answer(tmp_path: Path, more: bytes, late: bool) -> None:
     """A second copy, right behind the answer or a packet later, must not become the next request's answer."""
+
     async def scenario() -> None:
         def behave(seen: Seen) -> bytes:
             answer = reply(seen.headers["x-request-id"].encode())
@@ -628,6 +737,7 @@
                 writer.write(message("pay", rid=b"id-%d" % i))
                 assert (await read_message(reader, writer)).body == b"id-%d" % i
             assert len({id(s.writer) for s in rig.hosts[0].seen}) == 10
+
     on_loop(scenario)
 
 
@@ -636,23 +746,27 @@
         early = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n"
         async with Rig(tmp_path, lambda seen: early + serve(seen)) as rig:
             assert (await rig.ask(message())).body == b"served"
+
     on_loop(scenario)
 
 
 @pytest.mark.parametrize("figure", [b"1_0", b"-1", b"5", b"1e9", b"nan", b"", b"9" * 400])
 def test_a_billed_figure_that_no_request_can_have_is_none(tmp_path: Path, figure: bytes) -> None:
     """Guards a customer's quota: beyond `most_units` (4) nothing is billed, and the guess of 2 stays."""
+
     async def scenario() -> None:
         async with Rig(tmp_path, lambda seen: reply(b"ok", headers=b"Billed-Units: %b\r\n" % figure)) as rig:
             for i in range(30):
                 assert await rig.status(message(rid=b"id-%d" % i)) == 200
             await rig.counter.until(lambda fake: sum(rig.totals.values()) > 0)
             assert sum(rig.totals.values()) <= 60
+
     on_loop(scenario)
 
 
 def test_sighup_goes_over_to_the_discovery_and_counter_of_the_file(tmp_path: Path) -> None:
     """Also where the environment named discovery at the start; what is out meanwhile is served."""
+
     async def scenario() -> None:
         async with Rig(tmp_path, silent, serve) as rig:
             await rig.directory.tell([instance("s-1", rig.hosts[1].port, "gone")])
@@ -671,6 +785,7 @@
             await rig.counter.until(lambda fake: len(fake.seen) > 0)
             assert old_counter is not rig.counter
             await old_counter.until(lambda fake: fake.closed > 0)
+
     on_loop(scenario)
 
 
@@ -688,6 +803,7 @@
                     await asyncio.sleep(0.01)
             assert await rig.status(message()) == 200
             assert rig.directory.fake.closed == 0
+
     on_loop(scenario)
 
 
@@ -703,12 +819,14 @@
             assert (await asked).body == b"served"
             rig.process.send_signal(signal.SIGHUP)
             assert await rig.process.wait() == 0
+
     on_loop(scenario)
 
 
 def test_a_kept_connection_that_is_reset_says_nothing_of_its_host(tmp_path: Path) -> None:
     """A host may forget kept connections without a word: the request goes again on a new one, and the host is
     not left to rest."""
+
     async def scenario() -> None:
         used: set[int] = set()
 
@@ -725,4 +843,5 @@
                 await asyncio.sleep(5 * REST_S)
             assert not any("fails" in line for line in rig.log)
             assert len(rig.hosts[0].seen) == 19  # each but the first found its connection dead once
+
     on_loop(scenario)
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -48,16 +48,28 @@
     def gone(self) -> bool:
         return self.has_left
 
-    def answer(self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_ms: float = 0.0
-               ) -> None:
+    def answer(
+        self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_ms: float = 0.0
+    ) -> None:
         self.got.put_nowait(status)
 
 
 def an_order(deadline_ms: float = 5000) -> Order:
     an_order.serial += 1
-    return Order(b"%d" % an_order.serial, "pay", "team", "0" * 16, deadline_ms, 1, 1, 0, False,
-                 time.monotonic(),
-                 b"POST /api/0 HTTP/1.1\r\nX-Request-Id: a\r\nContent-Length: 0\r\n", b"")
+    return Order(
+        b"%d" % an_order.serial,
+        "pay",
+        "team",
+        "0" * 16,
+        deadline_ms,
+        1,
+        1,
+        0,
+        False,
+        time.monotonic(),
+        b"POST /api/0 HTTP/1.1\r\nX-Request-Id: a\r\nContent-Length: 0\r\n",
+        b"",
+    )
 
 
 an_order.serial = 0
@@ -67,10 +79,15 @@
     """A core whose module is a script and whose one host is `s-0`; discovery does not answer."""
     monkeypatch.setattr(core_module, "Gateway", Script)
     await host.start()
-    config = parse({
-        "listen": f"{LOOP}:0", "discovery": f"{LOOP}:{host.port}", "seed": "1",
-        "known": {"generation": 1, "reset": True, "instances": [instance("s-0", host.port)]},
-        "settings": {"grades": GRADES, "packages": PACKAGES, "bounds": {"try_limit": 2}}})
+    config = parse(
+        {
+            "listen": f"{LOOP}:0",
+            "discovery": f"{LOOP}:{host.port}",
+            "seed": "1",
+            "known": {"generation": 1, "reset": True, "instances": [instance("s-0", host.port)]},
+            "settings": {"grades": GRADES, "packages": PACKAGES, "bounds": {"try_limit": 2}},
+        }
+    )
     core = Core(config, asyncio.get_running_loop())
     core._apply(config.known, "kept")
     core._loop.call_soon(core._beat)
@@ -94,6 +111,7 @@
         await asyncio.sleep(0.05)
         assert client.got.empty() and len(host.seen) == 1
         host.stop()
+
     on_loop(scenario)
 
 
@@ -109,6 +127,7 @@
         core.request(served, an_order())
         assert await served.got.get() == 200
         host.stop()
+
     on_loop(scenario)
 
 
@@ -117,8 +136,11 @@
         host = Fake(lambda seen: None)
         core, script = await core_with(monkeypatch, host)
         client = Answers()
-        script.plan[api.Request] = [api.Send("r1", "s-0", 1000), api.Send("r1", "nowhere", 1000),
-                                    api.Send("r1", "s-0", 1000)]  # the third is beyond the limit of two
+        script.plan[api.Request] = [
+            api.Send("r1", "s-0", 1000),
+            api.Send("r1", "nowhere", 1000),
+            api.Send("r1", "s-0", 1000),
+        ]  # the third is beyond the limit of two
         core.request(client, an_order())
         assert script.outcomes() == [api.CONNECT_FAILED, api.MOOT]
         await host.until(lambda fake: bool(fake.seen))
@@ -129,6 +151,7 @@
         assert await client.got.get() == 502
         assert not core._requests
         host.stop()
+
     on_loop(scenario)
 
 
@@ -149,6 +172,7 @@
 
 def test_a_connection_that_breaks_as_it_comes_up_never_ran(monkeypatch: pytest.MonkeyPatch) -> None:
     """Nothing may be written to it: the attempt would hang until its time-out."""
+
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
         core, script = await core_with(monkeypatch, host)
@@ -160,6 +184,7 @@
         assert await client.got.get() == 503
         assert script.outcomes() == [api.UNSENT]
         host.stop()
+
     on_loop(scenario, 3)
 
 
@@ -187,9 +212,12 @@
             self.ended.set()
 
 
-async def dialling(monkeypatch: pytest.MonkeyPatch, host: Fake,
-                   then: type[api.Refuse] | type[api.Fail] = api.Refuse,
-                   **send: float) -> tuple[Core, Script, Held, Answers]:
+async def dialling(
+    monkeypatch: pytest.MonkeyPatch,
+    host: Fake,
+    then: type[api.Refuse] | type[api.Fail] = api.Refuse,
+    **send: float,
+) -> tuple[Core, Script, Held, Answers]:
     """A request whose dial is under way until the test lets it up; `then` answers its outcome."""
     core, script = await core_with(monkeypatch, host)
     core._hosts._loop = held = Held(core._loop)
@@ -207,9 +235,11 @@
 
 
 @pytest.mark.parametrize("lifecycle", ["draining", "gone"])
-def test_a_dial_that_is_up_after_its_host_began_to_leave_writes_nothing(monkeypatch: pytest.MonkeyPatch,
-                                                                         lifecycle: str) -> None:
+def test_a_dial_that_is_up_after_its_host_began_to_leave_writes_nothing(
+    monkeypatch: pytest.MonkeyPatch, lifecycle: str
+) -> None:
     """The connection is up and its end not told yet when the list comes: the worst order there is."""
+
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
         core, script, held, client = await dialling(monkeypatch, host)
@@ -223,12 +253,14 @@
         await host.until(lambda fake: fake.closed == 1)
         assert not [s for s in host.seen if "/api/" in s.line]
         host.stop()
+
     on_loop(scenario, 3)
 
 
 @pytest.mark.parametrize("lifecycle", ["draining", "gone"])
-def test_a_dial_to_a_host_that_begins_to_leave_is_ended_at_once(monkeypatch: pytest.MonkeyPatch,
-                                                                lifecycle: str) -> None:
+def test_a_dial_to_a_host_that_begins_to_leave_is_ended_at_once(
+    monkeypatch: pytest.MonkeyPatch, lifecycle: str
+) -> None:
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
         core, script, held, client = await dialling(monkeypatch, host)
@@ -240,6 +272,7 @@
         await held.ended.wait()
         assert script.outcomes() == [api.WITHDRAWN]
         host.stop()
+
     on_loop(scenario, 3)
 
 
@@ -255,13 +288,16 @@
         assert client.got.get_nowait() == 503
         assert script.outcomes() == [api.WITHDRAWN] and not host.opened
         host.stop()
+
     on_loop(scenario, 3)
 
 
 @pytest.mark.parametrize("told", [True, False])
-def test_a_dial_that_comes_up_after_its_client_left_writes_nothing(monkeypatch: pytest.MonkeyPatch,
-                                                                    told: bool) -> None:
+def test_a_dial_that_comes_up_after_its_client_left_writes_nothing(
+    monkeypatch: pytest.MonkeyPatch, told: bool
+) -> None:
     """Also where the settings allow no cancelling, and where the client's end is still unread."""
+
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
         core, script = await core_with(monkeypatch, host)
@@ -279,6 +315,7 @@
         assert script.outcomes() == [api.WITHDRAWN] and script.events[-1].final
         assert api.ClientLeft(rid) in script.events and not core._requests and not core._wire_ids
         host.stop()
+
     on_loop(scenario, 3)
 
 
@@ -295,6 +332,7 @@
         await asyncio.sleep(0)
         assert not host.opened
         host.stop()
+
     on_loop(scenario, 3)
 
 
@@ -313,11 +351,13 @@
         (outcome,) = [e for e in script.events if isinstance(e, api.Outcome)]
         assert outcome.took_ms < 400
         host.stop()
+
     on_loop(scenario)
 
 
-async def counter_with(monkeypatch: pytest.MonkeyPatch, fake: Fake, wait_ms: float
-                       ) -> tuple[Counter, asyncio.Queue[api.CountReply]]:
+async def counter_with(
+    monkeypatch: pytest.MonkeyPatch, fake: Fake, wait_ms: float
+) -> tuple[Counter, asyncio.Queue[api.CountReply]]:
     monkeypatch.setattr(counter_module, "CONNECTIONS", 1)
     await fake.start()
     got: asyncio.Queue[api.CountReply] = asyncio.Queue()
@@ -340,17 +380,21 @@
         assert got.empty()
         counter.stop()
         fake.stop()
+
     on_loop(scenario)
 
 
-@pytest.mark.parametrize(("behave", "result"), [
-    (lambda seen: b"", api.CUT),  # broken after the call was written: it may have been added
-    (lambda seen: reply(b"", 503), api.FULL),
-    (lambda seen: reply(b"many"), api.SPOILT),
-    (lambda seen: reply(b"nan"), api.SPOILT),
-    (lambda seen: reply(b"1_0"), api.SPOILT),
-    (lambda seen: b"HTTP/1.1 2x0 OK\r\n\r\n", api.SPOILT),
-])
+@pytest.mark.parametrize(
+    ("behave", "result"),
+    [
+        (lambda seen: b"", api.CUT),  # broken after the call was written: it may have been added
+        (lambda seen: reply(b"", 503), api.FULL),
+        (lambda seen: reply(b"many"), api.SPOILT),
+        (lambda seen: reply(b"nan"), api.SPOILT),
+        (lambda seen: reply(b"1_0"), api.SPOILT),
+        (lambda seen: b"HTTP/1.1 2x0 OK\r\n\r\n", api.SPOILT),
+    ],
+)
 def test_what_a_counter_call_comes_to(monkeypatch: pytest.MonkeyPatch, behave, result: str) -> None:
     async def scenario() -> None:
         fake = Fake(behave)
@@ -360,21 +404,33 @@
         assert got.empty()
         counter.stop()
         fake.stop()
+
     on_loop(scenario)
 
 
 def test_a_counter_that_answers_late_is_still_heard(monkeypatch: pytest.MonkeyPatch) -> None:
     """A busy counter answers after the bound that the settings give; its totals are true all the same."""
+
     async def scenario() -> None:
         fake = Fake(lambda seen: None)
         await fake.start()
-        config = parse({
-            "listen": f"{LOOP}:0", "discovery": f"{LOOP}:{fake.port}", "counter": f"{LOOP}:{fake.port}",
-            "seed": "1", "settings": {"grades": GRADES, "packages": PACKAGES,
-                                      "family_info": {"may_count": True, "count_wait_ms": 250.0}}})
+        config = parse(
+            {
+                "listen": f"{LOOP}:0",
+                "discovery": f"{LOOP}:{fake.port}",
+                "counter": f"{LOOP}:{fake.port}",
+                "seed": "1",
+                "settings": {
+                    "grades": GRADES,
+                    "packages": PACKAGES,
+                    "family_info": {"may_count": True, "count_wait_ms": 250.0},
+                },
+            }
+        )
         got: asyncio.Queue[api.CountReply] = asyncio.Queue()
-        counter = Counter(asyncio.get_running_loop(), config.counter, config.settings.count_wait_ms,
-                          got.put_nowait)
+        counter = Counter(
+            asyncio.get_running_loop(), config.counter, config.settings.count_wait_ms, got.put_nowait
+        )
         counter.call(api.Count("a", 1, 1000))
         await fake.until(lambda fake: len(fake.seen) == 1)
         await asyncio.sleep(0.4)
@@ -383,11 +439,13 @@
         assert (answer.result, answer.total) == (api.OK, 7)
         counter.stop()
         fake.stop()
+
     on_loop(scenario)
 
 
 def test_a_silent_counter_is_dialled_again(monkeypatch: pytest.MonkeyPatch) -> None:
     """A counter that is cut off leaves its connection open; the calls must not go there for ever."""
+
     async def scenario() -> None:
         fake = Fake(lambda seen: None)
         counter, got = await counter_with(monkeypatch, fake, 30)
@@ -400,12 +458,15 @@
         assert fake.seen[0].writer is not fake.seen[1].writer
         counter.stop()
         fake.stop()
+
     on_loop(scenario, 10)
 
 
 def test_a_counter_connection_that_is_reset_as_it_comes_up_is_dialled_again(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Its loss is told before its dial is over; it must not stand for the slot's connection from then on."""
+
     async def scenario() -> None:
         monkeypatch.setattr(counter_module, "CONNECTIONS", 1)
         listener = socket.create_server((LOOP, 0))
@@ -436,6 +497,7 @@
         assert (await got.get()).result == api.OK
         counter.stop()
         fake.stop()
+
     on_loop(scenario, 3)
 
 
@@ -456,15 +518,20 @@
         assert [(await got.get()).result, (await got.get()).result] == [api.SPOILT, api.OK]
         counter.stop()
         fake.stop()
+
     on_loop(scenario, 3)
 
 
-@pytest.mark.parametrize(("stuck", "results"), [
-    (1, {api.CUT}),  # what waits behind the call that ran out is cut with it
-    (2, {api.TIMED_OUT}),  # on more than one connection it is the counter that is slow
-])
-def test_one_silent_counter_connection_is_given_up(monkeypatch: pytest.MonkeyPatch, stuck: int,
-                                                   results: set[str]) -> None:
+@pytest.mark.parametrize(
+    ("stuck", "results"),
+    [
+        (1, {api.CUT}),  # what waits behind the call that ran out is cut with it
+        (2, {api.TIMED_OUT}),  # on more than one connection it is the counter that is slow
+    ],
+)
+def test_one_silent_counter_connection_is_given_up(
+    monkeypatch: pytest.MonkeyPatch, stuck: int, results: set[str]
+) -> None:
     async def scenario() -> None:
         monkeypatch.setattr(counter_module, "CONNECTIONS", 3)
         silent: list[asyncio.StreamWriter] = []
@@ -490,6 +557,7 @@
         assert {end.result for end in ends} == results
         counter.stop()
         fake.stop()
+
     on_loop(scenario, 5)
 
 
@@ -505,6 +573,7 @@
         await asyncio.sleep(0.2)  # longer than the rests so far
         assert fake.opened == 2  # what is stopped dials no more
         fake.stop()
+
     on_loop(scenario, 5)
 
 
@@ -527,6 +596,7 @@
             await asyncio.sleep(0.01)
         counter.stop()
         fake.stop()
+
     on_loop(scenario)
 
 
@@ -545,4 +615,5 @@
         assert (answer.result, answer.total) == (api.OK, 2)
         old.stop()
         new.stop()
+
     on_loop(scenario, 5)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -196,8 +196,11 @@
         del open_attempts[key]
         rec = attempts[key[0]][key[1]]
         rec[1], rec[3] = True, False
-        note(d.give(api.Outcome(key[0], key[1], rec[0], api.TIMED_OUT, 1000,
-                                answers(d, key[0], served) > 0), 1))
+        note(
+            d.give(
+                api.Outcome(key[0], key[1], rec[0], api.TIMED_OUT, 1000, answers(d, key[0], served) > 0), 1
+            )
+        )
     assert all(answers(d, rid, served) == 1 for rid in asked)
     assert not gw.held
 
@@ -227,8 +230,12 @@
     d = Driver()
     with pytest.raises(TypeError, match="not an event"):
         d.give("hello")
-    for changes, word in [({"classes": ()}, "classes"), ({"me": 3}, "me"), ({"fleet_size": 0}, "fleet_size"),
-                          ({"plans": (api.Plan("p", rate=-1),)}, "rate")]:
+    for changes, word in [
+        ({"classes": ()}, "classes"),
+        ({"me": 3}, "me"),
+        ({"fleet_size": 0}, "fleet_size"),
+        ({"plans": (api.Plan("p", rate=-1),)}, "rate"),
+    ]:
         with pytest.raises(ValueError, match=word):
             Gateway(settings(**changes), 1)
 
@@ -565,9 +572,19 @@
     assert d.gateway._warmth(host) < 0.3
 
 
-@pytest.mark.parametrize(("result", "times", "rests"), [
-    (api.RESET, 2, False), (api.RESET, 3, True), (api.UNSENT, 2, False), (api.UNSENT, 3, True),
-    (api.CONNECT_FAILED, 1, True), (api.STALE, 9, False), (api.SPOILT, 9, False), (api.NO_ROOM, 9, False)])
+@pytest.mark.parametrize(
+    ("result", "times", "rests"),
+    [
+        (api.RESET, 2, False),
+        (api.RESET, 3, True),
+        (api.UNSENT, 2, False),
+        (api.UNSENT, 3, True),
+        (api.CONNECT_FAILED, 1, True),
+        (api.STALE, 9, False),
+        (api.SPOILT, 9, False),
+        (api.NO_ROOM, 9, False),
+    ],
+)
 def test_what_an_outcome_says_of_its_host(result: str, times: int, rests: bool) -> None:
     """A connection's end, a spoilt answer or a bound of our own are not the host's death."""
     d = Driver(servers=1, try_limit=1)
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -155,6 +155,7 @@
     def counted(self: Gateway, held: object, host: object) -> bool:
         looks[0] += 1
         return real(self, held, host)
+
     monkeypatch.setattr(Gateway, "_may_send", counted)
     for hosts in (50, 11_000):
         gateway, now = Gateway(settings(classes=(SAFE,), plans=(OPEN,), fleet_size=670, me=7), 1), 1e9
@@ -187,15 +188,16 @@
 
 def test_a_repeat_finds_its_group_outside_the_subset() -> None:
     """Keyed by cell: only hosts of the first attempt's cell may have it again."""
-    cell = api.RequestClass("put", aim_ms=1000, deadline_ms=4000, effect="keyed", key_scope="cell",
-                            window_ms=3000)
+    cell = api.RequestClass(
+        "put", aim_ms=1000, deadline_ms=4000, effect="keyed", key_scope="cell", window_ms=3000
+    )
     d = Driver(servers=0, fleet_size=100, classes=(cell,))
     hosts = tuple(server(i, zone="a", cell=i % 100) for i in range(400))
     d.give(api.ServerList("full", hosts))
     rng = random.Random(2)
     for _ in range(20):
         rid, out = d.ask("put", customer=f"c{rng.random()}")
-        one, = of(out, api.Send)
+        (one,) = of(out, api.Send)
         more = of(d.end(rid, api.RESET, took=5), api.Send)
         assert more and int(more[0].server[1:]) % 100 == int(one.server[1:]) % 100
 
--- a/tests/test_thin_traffic.py
+++ b/tests/test_thin_traffic.py
@@ -19,8 +19,11 @@
         waiting.append(driver.ask()[0])
         if not any(isinstance(a, api.Send) and a.request == waiting[-1] for _, a in driver.log):
             waiting.pop()
-            rid = next(r for r, acts in iter(lambda: driver.ask(), None)
-                       if any(isinstance(a, api.Send) for a in acts))
+            rid = next(
+                r
+                for r, acts in iter(lambda: driver.ask(), None)
+                if any(isinstance(a, api.Send) for a in acts)
+            )
             waiting.append(rid)
     return driver.gateway.admission.fraction
 
@@ -108,8 +111,9 @@
     assert first not in others, "requests out on it outweigh a handshake"
 
 
-def counted(driver: Driver, units: float, total: float, after: float = 0.0,
-            before: float = 0.0) -> list[api.Action]:
+def counted(
+    driver: Driver, units: float, total: float, after: float = 0.0, before: float = 0.0
+) -> list[api.Action]:
     """A request and the reply to its count; all that they lead to. `before`: the last window's total."""
     _, acts = driver.ask(plan="basic", units=units, after=after, width=20)
     acts = list(acts)
@@ -137,8 +141,9 @@
     """What a gateway takes to be left (of 6, 2 a second) at the first total, 5 s into a window of 6."""
     driver = Driver(servers=60, fleet_size=40, now=1e6)
     driver.sweep(80)
-    use = driver.gateway._use(api.Request("probe", "read", "basic", "c", 4000, 1, 20, 0),
-                              driver.gateway.plans["basic"])
+    use = driver.gateway._use(
+        api.Request("probe", "read", "basic", "c", 4000, 1, 20, 0), driver.gateway.plans["basic"]
+    )
     end = (use.window + 1 - use.phase) * driver.gateway._window_ms(use.plan)
     driver.gateway.uses.clear()
     driver.now = end - 1000
@@ -171,8 +176,9 @@
 def test_refill_that_found_the_store_full_is_void_for_all() -> None:
     driver = Driver(servers=60, fleet_size=40, now=1e6)
     driver.sweep(80)
-    use = driver.gateway._use(api.Request("probe", "read", "basic", "c", 4000, 1, 20, 0),
-                              driver.gateway.plans["basic"])
+    use = driver.gateway._use(
+        api.Request("probe", "read", "basic", "c", 4000, 1, 20, 0), driver.gateway.plans["basic"]
+    )
     driver.now = (use.window + 1 - use.phase) * driver.gateway._window_ms(use.plan) + 4000
     rid, acts = driver.ask(plan="basic", units=1, width=20)
     first = next(a for a in acts if isinstance(a, api.Count))
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -11,13 +11,15 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-SETUP = ("bounds.try_limit=4 bounds.cancel=true bounds.retry_after=true bounds.max_retry_after_ms=1000 "
-         "family_info.may_count=true family_info.count_wait_ms=30 fleet_size=3 "
-         "grades.count=1 grades.0.name=read grades.0.objective_ms=1000 grades.0.deadline_ms=4000 "
-         "grades.0.worth=1 grades.0.effect=safe "
-         "packages.count=1 packages.0.name=basic packages.0.refill=2 packages.0.burst=6 "
-         "packages.0.over_cost=1 some.new.key=7 rules.cold_from=0.2 rules.cold_ms=10000 "
-         "rules.fall_multiple=3 rules.tip_after_ms=2000 tick_ms=2 zone=a zones=a,b")
+SETUP = (
+    "bounds.try_limit=4 bounds.cancel=true bounds.retry_after=true bounds.max_retry_after_ms=1000 "
+    "family_info.may_count=true family_info.count_wait_ms=30 fleet_size=3 "
+    "grades.count=1 grades.0.name=read grades.0.objective_ms=1000 grades.0.deadline_ms=4000 "
+    "grades.0.worth=1 grades.0.effect=safe "
+    "packages.count=1 packages.0.name=basic packages.0.refill=2 packages.0.burst=6 "
+    "packages.0.over_cost=1 some.new.key=7 rules.cold_from=0.2 rules.cold_ms=10000 "
+    "rules.fall_multiple=3 rules.tip_after_ms=2000 tick_ms=2 zone=a zones=a,b"
+)
 
 
 def opening(*names: str) -> str:
@@ -34,8 +36,15 @@
 
 def run(text: str, hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
     env = {**os.environ, "PYTHONHASHSEED": hash_seed}
-    return subprocess.run([sys.executable, "-m", "yewstage.wirehost"], input=text, capture_output=True,
-                          text=True, cwd=ROOT, env=env, check=False)
+    return subprocess.run(
+        [sys.executable, "-m", "yewstage.wirehost"],
+        input=text,
+        capture_output=True,
+        text=True,
+        cwd=ROOT,
+        env=env,
+        check=False,
+    )
 
 
 def req(name: str, rid: str, customer: str = "key:c") -> str:
@@ -49,24 +58,46 @@
     assert lines[0] == "OK" and lines.count("OK") == 3
     name = re.search(r"ADD gateway/0 (\S+) \S+ \S+", done.stdout)
     assert name and name[1].isascii() and len(name[1]) <= 64
-    again = run("BATCH 900\nEND\n" + opening("gateway/0") + batch(1010, req("gateway/0", "r-a"))
-                + batch(1014, f"COUNTER_REPLY gateway/0 1 Ok 2.15 {name[1]}"))
+    again = run(
+        "BATCH 900\nEND\n"
+        + opening("gateway/0")
+        + batch(1010, req("gateway/0", "r-a"))
+        + batch(1014, f"COUNTER_REPLY gateway/0 1 Ok 2.15 {name[1]}")
+    )
     sent = re.search(r"DELIVER gateway/0 r-a ([\d.]+) (10\.0\.0\.\d:80)", again.stdout)
     assert sent and 0 < float(sent[1]) <= 1000
-    served = run("BATCH 900\nEND\n" + opening("gateway/0") + batch(1010, req("gateway/0", "r-a"))
-                 + batch(1014, f"COUNTER_REPLY gateway/0 1 Ok 2.15 {name[1]}")
-                 + batch(1100, f"ENDED gateway/0 r-a 0 {sent[2]} Ok 86.0 1 0 0 mean_ms:14.5,news:3",
-                         "CLIENT_LEFT gateway/0 r-a", "TICK_DUE gateway/0 sweep"))
+    served = run(
+        "BATCH 900\nEND\n"
+        + opening("gateway/0")
+        + batch(1010, req("gateway/0", "r-a"))
+        + batch(1014, f"COUNTER_REPLY gateway/0 1 Ok 2.15 {name[1]}")
+        + batch(
+            1100,
+            f"ENDED gateway/0 r-a 0 {sent[2]} Ok 86.0 1 0 0 mean_ms:14.5,news:3",
+            "CLIENT_LEFT gateway/0 r-a",
+            "TICK_DUE gateway/0 sweep",
+        )
+    )
     assert served.returncode == 0
     assert "REFUSE" not in served.stdout and "GIVE_UP" not in served.stdout
 
 
-@pytest.mark.parametrize("line", [
-    "REQ gateway/0 r-a read basic key:c 4000.0 1 3 0", "HELLO gateway/0", "TICK_DUE gateway/0",
-    "REQ gateway/0 r-a read basic key:c soon 1 3 0 0", "REQ gateway/0 r-a read basic key:c nan 1 3 0 0",
-    "ENDED gateway/0 r-a 0 h Odd 1 1 0 0 -", "ENDED gateway/0 r-a x h Ok 1 1 0 0 -", "CATALOG 1 1\nM a b",
-    "DIRECTORY_UPDATE gateway/0 Complete 1 9", "INBOX gateway/0 1 zz", "",
-])
+@pytest.mark.parametrize(
+    "line",
+    [
+        "REQ gateway/0 r-a read basic key:c 4000.0 1 3 0",
+        "HELLO gateway/0",
+        "TICK_DUE gateway/0",
+        "REQ gateway/0 r-a read basic key:c soon 1 3 0 0",
+        "REQ gateway/0 r-a read basic key:c nan 1 3 0 0",
+        "ENDED gateway/0 r-a 0 h Odd 1 1 0 0 -",
+        "ENDED gateway/0 r-a x h Ok 1 1 0 0 -",
+        "CATALOG 1 1\nM a b",
+        "DIRECTORY_UPDATE gateway/0 Complete 1 9",
+        "INBOX gateway/0 1 zz",
+        "",
+    ],
+)
 def test_malformed_lines_end_it_with_one_plain_line(line: str) -> None:
     done = run(opening("gateway/0") + f"BATCH 1010\n{line}\nEND\n")
     assert done.returncode not in (0, 1)
@@ -108,8 +139,9 @@
 def test_readme_example_runs() -> None:
     code = re.search(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S)
     assert code
-    done = subprocess.run([sys.executable, "-c", code[1]], capture_output=True, text=True, cwd=ROOT,
-                          check=False)
+    done = subprocess.run(
+        [sys.executable, "-c", code[1]], capture_output=True, text=True, cwd=ROOT, check=False
+    )
     assert done.returncode == 0, done.stderr
     assert done.stdout.splitlines()[-1] == "served by 10.0.0.1:80"
 
--- a/yewstage/interface.py
+++ b/yewstage/interface.py
@@ -274,6 +274,15 @@
     text: str
 
 
-Event = (ServerList | Request | Outcome | StreamStarted | ClientLeft | TimerDue | CountReply | ProbeReply
-         | PeerMessage)
+Event = (
+    ServerList
+    | Request
+    | Outcome
+    | StreamStarted
+    | ClientLeft
+    | TimerDue
+    | CountReply
+    | ProbeReply
+    | PeerMessage
+)
 Action = Send | Refuse | Fail | Cancel | Timer | Count | Subscribe | Log
--- a/yewstage/net/clients.py
+++ b/yewstage/net/clients.py
@@ -35,12 +35,34 @@
 FRESH_S = 0.1  # a client that has just connected is about to ask: what it sends is on its way so long
 LOOKS = 16  # connections looked at for one that may be closed
 
-REASONS = {200: b"OK", 400: b"Bad Request", 404: b"Not Found", 408: b"Request Timeout",
-           409: b"Conflict", 413: b"Content Too Large", 500: b"Internal Server Error", 502: b"Bad Gateway",
-           503: b"Service Unavailable", 504: b"Gateway Timeout"}
+REASONS = {
+    200: b"OK",
+    400: b"Bad Request",
+    404: b"Not Found",
+    408: b"Request Timeout",
+    409: b"Conflict",
+    413: b"Content Too Large",
+    500: b"Internal Server Error",
+    502: b"Bad Gateway",
+    503: b"Service Unavailable",
+    504: b"Gateway Timeout",
+}
 LINES = {status: b"HTTP/1.1 %d %b\r\n" % (status, reason) for status, reason in REASONS.items()}
-WANTED = frozenset((b"x-request-id", b"x-class", b"plan", b"x-deadline", b"quota-info", b"x-retry",
-                    b"idempotency-key", b"content-length", b"content-type", b"transfer-encoding", b"expect"))
+WANTED = frozenset(
+    (
+        b"x-request-id",
+        b"x-class",
+        b"plan",
+        b"x-deadline",
+        b"quota-info",
+        b"x-retry",
+        b"idempotency-key",
+        b"content-length",
+        b"content-type",
+        b"transfer-encoding",
+        b"expect",
+    )
+)
 WORD = re.compile(rb"[!-~]{1,128}")
 CUSTOMER = re.compile(rb"[0-9a-fA-F]{16}")
 DEADLINE = re.compile(rb"([0-9]{1,12}(?:\.[0-9]{1,6})?)([mu])")
@@ -88,8 +110,11 @@
         units, spread, first = (fields.get(name, "") for name in ("units", "spread", "first"))
         if not (UNITS.fullmatch(units) and WHOLE.fullmatch(spread) and WHOLE.fullmatch(first)):
             raise BadRequestError("Quota-Info")
-        if not (0 < float(units) <= self._most_units and 1 <= int(spread) <= self._gateways
-                and int(first) < self._gateways):
+        if not (
+            0 < float(units) <= self._most_units
+            and 1 <= int(spread) <= self._gateways
+            and int(first) < self._gateways
+        ):
             raise BadRequestError("Quota-Info: out of range")
         return float(units), int(spread), int(first)
 
@@ -99,7 +124,7 @@
     headers = message.headers
     path, _, _ = message.url.partition(b"?")
     customer = path.rpartition(b"/")[2]
-    if not CUSTOMER.fullmatch(customer) or int(customer, 16) >= 2 ** 33:
+    if not CUSTOMER.fullmatch(customer) or int(customer, 16) >= 2**33:
         raise BadRequestError("customer")
     cls = terms.classes.get(headers.get(b"x-class", b""))
     plan = terms.plans.get(headers.get(b"plan", b""))
@@ -111,9 +136,20 @@
     time_left_ms = float(deadline[1]) / (1 if deadline[2] == b"m" else 1000)
     units, width, first = terms.quota_info(headers.get(b"quota-info", b""))
     # No client of a class waits for longer than its deadline, whatever it says.
-    return Order(headers.get(b"x-request-id", b""), cls.name, plan, customer.decode().lower(),
-                 min(time_left_ms, cls.deadline_ms), units, width, first, headers.get(b"x-retry") == b"1",
-                 message.read_at, _head(message, cls), b"".join(message.body))
+    return Order(
+        headers.get(b"x-request-id", b""),
+        cls.name,
+        plan,
+        customer.decode().lower(),
+        min(time_left_ms, cls.deadline_ms),
+        units,
+        width,
+        first,
+        headers.get(b"x-retry") == b"1",
+        message.read_at,
+        _head(message, cls),
+        b"".join(message.body),
+    )
 
 
 def check_framing(message: _Message) -> None:
@@ -316,8 +352,9 @@
             if self._busy:  # else it is answered already
                 self._open = rid
 
-    def answer(self, status: int, body: bytes = b"", content_type: bytes = b"",
-               retry_after_ms: float = 0.0) -> None:
+    def answer(
+        self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_ms: float = 0.0
+    ) -> None:
         """The one answer to the request that is open."""
         self._open, self._busy, self.answered = None, False, True
         if self.transport.is_closing():
@@ -377,8 +414,13 @@
         Guards the request that has come and lies in the kernel: closed unread, its client has to come again
         with it, and the first one on a connection has failed.
         """
-        return not (self._busy or self._message is not None or self._queue
-                    or self.transport.is_closing() or readable(self.transport))
+        return not (
+            self._busy
+            or self._message is not None
+            or self._queue
+            or self.transport.is_closing()
+            or readable(self.transport)
+        )
 
     def may_go(self) -> bool:
         """Whether an abort loses nothing where no answer is owed: none that is unsent, no unread request."""
@@ -510,7 +552,8 @@
                 return False
             accepted.setblocking(False)
             task = self.loop.create_task(
-                self.loop.connect_accepted_socket(lambda: ClientConnection(self), accepted))
+                self.loop.connect_accepted_socket(lambda: ClientConnection(self), accepted)
+            )
             self._pending.add(task)
             task.add_done_callback(self._accepted)
         return False
--- a/yewstage/net/config.py
+++ b/yewstage/net/config.py
@@ -57,8 +57,11 @@
         raise ConfigError(f"ROUTER_CONFIG: cannot be read: {error}") from None
     if not isinstance(raw, dict):
         raise ConfigError("ROUTER_CONFIG: must hold a JSON object")
-    for field, variable in (("name", "ROUTER_NAME"), ("listen", "ROUTER_LISTEN"),
-                            ("discovery", "ROUTER_DISCOVERY")):
+    for field, variable in (
+        ("name", "ROUTER_NAME"),
+        ("listen", "ROUTER_LISTEN"),
+        ("discovery", "ROUTER_DISCOVERY"),
+    ):
         if environ.get(variable) and not (again and field == "discovery"):
             raw[field] = environ[variable]
     return parse(raw)
@@ -79,11 +82,18 @@
     except ValueError as error:
         raise ConfigError(f"known: {error}") from None
     return Config(
-        name=str(raw.get("name", "")), listen=address(raw, "listen"), discovery=address(raw, "discovery"),
-        counter=address(raw, "counter") if counter else None, seed=_seed(raw), sockets=_sockets(raw),
-        settings=settings, known=known, dial_ms=_positive(pairs, "bounds.dial_timeout_ms", 250.0),
+        name=str(raw.get("name", "")),
+        listen=address(raw, "listen"),
+        discovery=address(raw, "discovery"),
+        counter=address(raw, "counter") if counter else None,
+        seed=_seed(raw),
+        sockets=_sockets(raw),
+        settings=settings,
+        known=known,
+        dial_ms=_positive(pairs, "bounds.dial_timeout_ms", 250.0),
         idle_ms=_positive(pairs, "bounds.conn_idle_ms", 15000.0),
-        ask_within_ms=_positive(pairs, "rules.must_ask_in_ms", 10000.0))
+        ask_within_ms=_positive(pairs, "rules.must_ask_in_ms", 10000.0),
+    )
 
 
 def address(raw: Mapping[str, object], field: str) -> Address:
@@ -162,6 +172,7 @@
         raise ConfigError(f"limits.sockets: must be a whole number of {LEAST_SOCKETS} or more")
     allowed = resource.getrlimit(resource.RLIMIT_NOFILE)[0]  # the system's own limit may be lower
     if allowed != resource.RLIM_INFINITY and allowed < LEAST_SOCKETS:
-        raise ConfigError(f"limits.sockets: the system allows {allowed} descriptors, "
-                          f"{LEAST_SOCKETS} are needed")
+        raise ConfigError(
+            f"limits.sockets: the system allows {allowed} descriptors, {LEAST_SOCKETS} are needed"
+        )
     return value if allowed == resource.RLIM_INFINITY else min(value, allowed)
--- a/yewstage/net/core.py
+++ b/yewstage/net/core.py
@@ -55,8 +55,9 @@
 class Client(Protocol):
     """Who is owed an answer."""
 
-    def answer(self, status: int, body: bytes = b"", content_type: bytes = b"",
-               retry_after_ms: float = 0.0) -> None:
+    def answer(
+        self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_ms: float = 0.0
+    ) -> None:
         """Pass the one final answer on."""
 
     def gone(self) -> bool:
@@ -103,14 +104,19 @@
         self._loop = loop
         self._clock = Clock()
         self._gateway = Gateway(config.settings, config.seed)
-        self._hosts = hosts(loop, upstream_sockets(config.sockets), config.dial_ms, config.idle_ms,
-                            self._ended, self._wanted)
+        self._hosts = hosts(
+            loop, upstream_sockets(config.sockets), config.dial_ms, config.idle_ms, self._ended, self._wanted
+        )
         known = config.known.generation if config.known.servers else None
         # A generator of its own for the network's jitter: the module's draws stay a function of its events.
-        self._discovery = Discovery(loop, config.discovery, self._listed,
-                                    random.Random(config.seed ^ 1), known, list_spread_s(config))
-        self._counter = (Counter(loop, config.counter, config.settings.count_wait_ms, self._post)
-                         if config.counter is not None else None)
+        self._discovery = Discovery(
+            loop, config.discovery, self._listed, random.Random(config.seed ^ 1), known, list_spread_s(config)
+        )
+        self._counter = (
+            Counter(loop, config.counter, config.settings.count_wait_ms, self._post)
+            if config.counter is not None
+            else None
+        )
         self._known = config.known
         self._requests: dict[str, _Open] = {}
         self._wire_ids: set[bytes] = set()  # of the requests that are open or have an attempt out
@@ -205,8 +211,19 @@
         request = _Open(rid, client, order, now + (left_ms - GUARD_MS) / 1000)
         self._requests[rid] = request
         request.guard = self._loop.call_later(max(left_ms - GUARD_MS, 0.0) / 1000, self._guard, request)
-        self._post(api.Request(rid, order.class_name, order.plan_name, order.customer, left_ms - MODULE_MS,
-                               order.units, order.width, order.first, order.repeat))
+        self._post(
+            api.Request(
+                rid,
+                order.class_name,
+                order.plan_name,
+                order.customer,
+                left_ms - MODULE_MS,
+                order.units,
+                order.width,
+                order.first,
+                order.repeat,
+            )
+        )
         return rid
 
     def left(self, rid: str) -> None:
@@ -237,8 +254,9 @@
             self._answer(request, 504)
             self._post(api.ClientLeft(request.id))
 
-    def _answer(self, request: _Open | None, status: int, reply: Reply | None = None,
-                retry_after_ms: float = 0.0) -> None:
+    def _answer(
+        self, request: _Open | None, status: int, reply: Reply | None = None, retry_after_ms: float = 0.0
+    ) -> None:
         """The one final answer; a second one is dropped."""
         if request is None or request.client is None:
             return
@@ -280,8 +298,12 @@
         gone = {s.name for s in listing.servers if s.status == "removed"}
         if kind != "changes":  # a whole list replaces the old one
             gone |= self._hosts.names() - {s.name for s in listing.servers}
-        self._hosts.update(listing.addresses, gone, {s.name for s in listing.servers if s.status != "up"},
-                           {s.name: s.up_since_ms for s in listing.servers})
+        self._hosts.update(
+            listing.addresses,
+            gone,
+            {s.name for s in listing.servers if s.status != "up"},
+            {s.name: s.up_since_ms for s in listing.servers},
+        )
         if listing.servers or kind != "changes":
             self._post(api.ServerList(kind, listing.servers))
         self._hosts.recall()  # after the module has heard: what comes back goes to another host
@@ -299,8 +321,16 @@
         wait_s = min(act.timeout_ms / 1000, left_s) if act.timeout_ms else left_s
         order = request.order
         now = time.monotonic()
-        attempt = Attempt(act.request, number, act.server, order.head, order.body, now, now + wait_s,
-                          now + act.write_by_ms / 1000)
+        attempt = Attempt(
+            act.request,
+            number,
+            act.server,
+            order.head,
+            order.body,
+            now,
+            now + wait_s,
+            now + act.write_by_ms / 1000,
+        )
         request.attempts.append(attempt)
         request.out += 1
         self._hosts.send(attempt)
@@ -319,8 +349,11 @@
             self._answer(request, 200, reply)
         final = request.client is None
         self._forget(request)
-        self._post(api.Outcome(attempt.request, attempt.number, attempt.server, result, took, final,
-                               true_units=units))
+        self._post(
+            api.Outcome(
+                attempt.request, attempt.number, attempt.server, result, took, final, true_units=units
+            )
+        )
 
     def _cancel(self, act: api.Cancel) -> None:
         request = self._requests.get(act.request)
--- a/yewstage/net/counter.py
+++ b/yewstage/net/counter.py
@@ -33,8 +33,13 @@
 class Counter:
     """Every call gets exactly one `CountReply`."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, address: tuple[str, int], wait_ms: float,
-                 replied: Callable[[api.CountReply], None]) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        address: tuple[str, int],
+        wait_ms: float,
+        replied: Callable[[api.CountReply], None],
+    ) -> None:
         self._loop, self._wait_s, self._replied = loop, wait_ms / 1000, replied
         self._slots = self._open(address)
 
@@ -102,9 +107,11 @@
         """
         others = [slot for slot in self._slots if slot is not call.slot]
         late = self._loop.time() - self._wait_s / 2
-        return (call.slot.silent_since(call.sent_at)
-                and any(not slot.silent_since(call.sent_at) for slot in others)
-                and not any(slot.waits_since(late) for slot in others))
+        return (
+            call.slot.silent_since(call.sent_at)
+            and any(not slot.silent_since(call.sent_at) for slot in others)
+            and not any(slot.waits_since(late) for slot in others)
+        )
 
 
 class _Slot:
@@ -182,7 +189,8 @@
     def dial(self) -> None:
         """Open the connection."""
         self._dial = self._loop.create_task(
-            self._loop.create_connection(lambda: _Connection(self), *self._address))
+            self._loop.create_connection(lambda: _Connection(self), *self._address)
+        )
         self._dial.add_done_callback(self._dial_ended)
         self._dial_timer = self._loop.call_later(DIAL_S, self._dial.cancel)
 
@@ -214,7 +222,8 @@
         act = call.act
         self._connection.write(
             f"POST /v1/count/{act.name}?add={_decimal(act.amount)}&ttl_ms={max(1, round(act.keep_ms))}"
-            " HTTP/1.1\r\nHost: counter\r\nContent-Length: 0\r\n\r\n".encode())
+            " HTTP/1.1\r\nHost: counter\r\nContent-Length: 0\r\n\r\n".encode()
+        )
         call.written = not self._connection.unsent
         if self._check_timer is None:
             self._check_timer = self._loop.call_later(SILENT_S, self._check)
--- a/yewstage/net/discovery.py
+++ b/yewstage/net/discovery.py
@@ -70,8 +70,14 @@
         raise ValueError(f"{name}: hostPort {entry.get('hostPort')!r} is not HOST:PORT")
     try:
         # The module's clock is Unix time in milliseconds, so startedAtMs needs no more than reading.
-        server = api.Server(name, str(entry.get("zone", "")), int(entry.get("cell", 0)), status,
-                            float(entry.get("weight", 1.0)), float(entry.get("startedAtMs", 0)))
+        server = api.Server(
+            name,
+            str(entry.get("zone", "")),
+            int(entry.get("cell", 0)),
+            status,
+            float(entry.get("weight", 1.0)),
+            float(entry.get("startedAtMs", 0)),
+        )
     except (TypeError, ValueError):
         raise ValueError(f"{name}: cell, weight or startedAtMs is not a number") from None
     return server, ((host.strip("[]"), int(port)) if status != "removed" else None)
@@ -93,9 +99,15 @@
     5.6 s (36 a second for 200 gateways, 120 for 670). One that serves fewer cannot tell all in time.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, address: tuple[str, int],
-                 told: Callable[[Listing], None], rng: random.Random, known: int | None = None,
-                 spread_s: float = 0.0) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        address: tuple[str, int],
+        told: Callable[[Listing], None],
+        rng: random.Random,
+        known: int | None = None,
+        spread_s: float = 0.0,
+    ) -> None:
         """`known`: the generation of the list that is known; `spread_s`: what the calls of the whole fleet
         take of discovery, over which the first ones and those turned away are spread."""
         self._spread_s = spread_s
@@ -150,7 +162,8 @@
             return
         self._watch_silence(AGENT_S if self._pushed else DIAL_S)
         self._dial = self._loop.create_task(
-            self._loop.create_connection(lambda: _Watch(self), *self._address))
+            self._loop.create_connection(lambda: _Watch(self), *self._address)
+        )
         self._dial.add_done_callback(self._dialled)
 
     def _dialled(self, task: asyncio.Task) -> None:
--- a/yewstage/net/hosts.py
+++ b/yewstage/net/hosts.py
@@ -22,11 +22,34 @@
 class Attempt:
     """One Send until its one outcome. Times are in seconds by time.monotonic."""
 
-    __slots__ = ("request", "number", "server", "head", "body", "sent_at", "until", "write_by", "connection",
-                 "dial", "timer", "dial_timer", "write_timer", "done")
-
-    def __init__(self, request: str, number: int, server: str, head: bytes, body: bytes, sent_at: float,
-                 until: float, write_by: float = math.inf) -> None:
+    __slots__ = (
+        "request",
+        "number",
+        "server",
+        "head",
+        "body",
+        "sent_at",
+        "until",
+        "write_by",
+        "connection",
+        "dial",
+        "timer",
+        "dial_timer",
+        "write_timer",
+        "done",
+    )
+
+    def __init__(
+        self,
+        request: str,
+        number: int,
+        server: str,
+        head: bytes,
+        body: bytes,
+        sent_at: float,
+        until: float,
+        write_by: float = math.inf,
+    ) -> None:
         """`until`: when we stop waiting for its answer; `write_by`: its last byte is written by then, or
         nothing of it counts."""
         self.request, self.number, self.server = request, number, server
@@ -58,9 +81,15 @@
 class Hosts:
     """Sends attempts and reports how each one ended, exactly once."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, most: int, dial_ms: float, idle_ms: float,
-                 ended: Callable[[Attempt, str, Reply | None], None],
-                 wanted: Callable[[Attempt], bool]) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        most: int,
+        dial_ms: float,
+        idle_ms: float,
+        ended: Callable[[Attempt, str, Reply | None], None],
+        wanted: Callable[[Attempt], bool],
+    ) -> None:
         """`wanted`: whether somebody waits for an attempt, asked when a dial has come up."""
         self._loop, self._most, self._ended, self._wanted = loop, most, ended, wanted
         self._dial_s, self._idle_s = dial_ms / 1000, IDLE_SHARE * idle_ms / 1000
@@ -80,8 +109,9 @@
         for connection in list(self._connections):
             connection.drop()
 
-    def update(self, addresses: dict[str, tuple[str, int]], gone: set[str], leaving: set[str],
-               born: dict[str, float]) -> None:
+    def update(
+        self, addresses: dict[str, tuple[str, int]], gone: set[str], leaving: set[str], born: dict[str, float]
+    ) -> None:
         """Where to dial each host, which drain, and which to dial no more. What is written goes on.
 
         `born`: when each started. A dial begun for the previous process must not be used: it would take a
@@ -158,7 +188,8 @@
         self._dials += 1
         self._dialling[attempt] = host
         attempt.dial = self._loop.create_task(
-            self._loop.create_connection(lambda: _Connection(self, host), *host.address))
+            self._loop.create_connection(lambda: _Connection(self, host), *host.address)
+        )
         attempt.dial.add_done_callback(partial(self._dialled, attempt))
         attempt.dial_timer = self._loop.call_later(self._dial_s, self._dial_overdue, attempt)
         self._watch_write(attempt)
@@ -167,7 +198,8 @@
         """End an attempt that is not written whole by its last moment: its request is answered then."""
         if attempt.write_by < math.inf and attempt.write_timer is None:
             attempt.write_timer = self._loop.call_later(
-                max(attempt.write_by - time.monotonic(), 0.0), self.withdraw, attempt)
+                max(attempt.write_by - time.monotonic(), 0.0), self.withdraw, attempt
+            )
 
     def withdraw(self, attempt: Attempt) -> None:
         """End an attempt whose last byte is not written: it never ran. Any other goes on."""
--- a/yewstage/net/http1.py
+++ b/yewstage/net/http1.py
@@ -116,7 +116,7 @@
         # read as the answer to what is written next. So answers are handed on only when all that came with
         # them has been looked at.
         replies, self._whole = self._whole, []
-        asked = replies[:self._due]
+        asked = replies[: self._due]
         self._due -= len(asked)
         if len(replies) > len(asked) or (self._begun and not self._due):
             sound = False
@@ -162,6 +162,7 @@
         status = self._parser.get_status_code()
         if status >= 200:  # interim answers are not the answer, but count for its bound
             self._taken = 0
-            self._whole.append(Reply(status, self._headers, b"".join(self._body),
-                                     self._parser.should_keep_alive()))
+            self._whole.append(
+                Reply(status, self._headers, b"".join(self._body), self._parser.should_keep_alive())
+            )
         self._reset()
--- a/yewstage/occupancy.py
+++ b/yewstage/occupancy.py
@@ -111,7 +111,7 @@
     @property
     def spread(self) -> float:
         """Standard deviation of a share; few answers are taken to vary as much as their mean."""
-        return math.sqrt((self.variance * self.count + self.mean ** 2 * FEW) / (self.count + FEW))
+        return math.sqrt((self.variance * self.count + self.mean**2 * FEW) / (self.count + FEW))
 
     @property
     def reaches_aim(self) -> bool:
@@ -149,7 +149,7 @@
         weight = 0.0  # departures lag at a start, and what may be chance foretells nothing
         if latency.unpressed is not None and abs(wait_ms) > latency.nearness * chance_ms:
             weight = FORETOLD * trust * (1.0 - latency.nearness * chance_ms / abs(wait_ms))
-        variance = latency.spread ** 2
+        variance = latency.spread**2
         self.good += (sample - self.good) / FEW
         self.lost -= self.lost / (4 * FEW)
         foretold = latency.occupancy(min(latency.base + wait_ms / latency.aim_ms, 1.0))
@@ -185,8 +185,8 @@
             weight = min(INTERVAL_WEIGHT, count / (OUTCOMES_KEPT * fraction))
         mean = self.pending_sum / count
         self.q = min(max((1 - weight) * self.q + weight * mean, 0.0), 1.0)
-        variance = self.pending_variance / count ** 2
-        self.noise = (1 - weight) ** 2 * self.noise + weight ** 2 * variance
+        variance = self.pending_variance / count**2
+        self.noise = (1 - weight) ** 2 * self.noise + weight**2 * variance
         self.pending = 0
         self.pending_sum = self.pending_variance = 0.0
         return True
--- a/yewstage/policy.py
+++ b/yewstage/policy.py
@@ -165,7 +165,7 @@
         if len(self.warm) <= LOOK:
             return self.warm
         self.at = (self.at + LOOK) % len(self.warm)
-        return (self.warm + self.warm[:LOOK])[self.at:self.at + LOOK]
+        return (self.warm + self.warm[:LOOK])[self.at : self.at + LOOK]
 
     def look_cold(self) -> list[_Host]:
         """The cold hosts to look at for one request, from another one on each time."""
@@ -186,8 +186,9 @@
 class _Held:
     """A request that is owed an answer, or whose attempts are still out."""
 
-    def __init__(self, req: api.Request, cls: api.RequestClass, use: _Use, aim_at: float, end_at: float,
-                 work: float) -> None:
+    def __init__(
+        self, req: api.Request, cls: api.RequestClass, use: _Use, aim_at: float, end_at: float, work: float
+    ) -> None:
         self.req, self.cls, self.use, self.work = req, cls, use, work
         self.aim_at, self.end_at = aim_at, end_at
         self.attempts: list[_Attempt] = []
@@ -256,8 +257,9 @@
         self.held: dict[str, _Held] = {}
         # Names stay: gateways of two versions must count together while a new one is rolled out.
         lengths = [self._window_ms(p) if p.rate > 0 else 0.0 for p in settings.plans]
-        self.tags = {p.name: f".{i}" if lengths.count(lengths[i]) > 1 else ""
-                     for i, p in enumerate(settings.plans)}
+        self.tags = {
+            p.name: f".{i}" if lengths.count(lengths[i]) > 1 else "" for i, p in enumerate(settings.plans)
+        }
         self.uses: dict[tuple[str, str], _Use] = {}  # by customer and plan, the longest unseen first
         self.calls: dict[str, _Use] = {}  # by the name of its count
         self.asking: dict[str, _Use] = {}  # by the request that waits for a total
@@ -378,8 +380,9 @@
             return 0.0
         return max(cls.deadline_ms - req.time_left_ms, 0.0)
 
-    def _decide(self, req: api.Request, cls: api.RequestClass, use: _Use, aim_at: float, end_at: float,
-                admitted: bool) -> None:
+    def _decide(
+        self, req: api.Request, cls: api.RequestClass, use: _Use, aim_at: float, end_at: float, admitted: bool
+    ) -> None:
         """Send on or refuse, at once."""
         plan = use.plan
         over = not self._quota_has(use, req.units)
@@ -458,8 +461,11 @@
             occupancy.q *= 1 - SWEEP_MS / max(c.aim_ms for c in self.s.classes)
         late = 0
         if occupancy.seen < FEW_SAMPLES:
-            late = sum(a.open and self.now - a.sent > OUT_TOO_LONG * h.cls.aim_ms  # outcomes come too late
-                       for h in self.held.values() for a in h.attempts)
+            late = sum(
+                a.open and self.now - a.sent > OUT_TOO_LONG * h.cls.aim_ms  # outcomes come too late
+                for h in self.held.values()
+                for a in h.attempts
+            )
         self.admission.update(late)
         if (part := self.admission.fraction) < 0.9:
             self._say("pressed", f"back end pressed: q {occupancy.q:.2f}, letting in {part:.0%}")
@@ -534,11 +540,11 @@
             return False
         doubt = (max(use.others, 0.0) * (self.now - use.base_at)) ** 0.5  # the others' use may vary so much
         maybe = self._left(use) - doubt < units <= use.most
-        return use.unread or (maybe and self.rng.random() < max(use.luck, self.heard ** CROWD))
+        return use.unread or (maybe and self.rng.random() < max(use.luck, self.heard**CROWD))
 
     def _may_call(self) -> bool:
         """The crowd at the counter is us: unanswered calls thin out ours."""
-        return self.rng.random() < self.heard ** CROWD or self.now > self.call_at + CALL_REST_MS
+        return self.rng.random() < self.heard**CROWD or self.now > self.call_at + CALL_REST_MS
 
     @staticmethod
     def _spend(use: _Use, units: float) -> None:
@@ -733,8 +739,10 @@
         tried = [a.host for a in held.attempts]
         host = None
         if subset.cold:
-            host = next((h for h in subset.look_cold() if self._may_send(held, h)
-                         and self._spared(h, held.work)), None)
+            host = next(
+                (h for h in subset.look_cold() if self._may_send(held, h) and self._spared(h, held.work)),
+                None,
+            )
         if host is None and subset.failing:
             host = self._trial(held, tried)
         if host is None:
@@ -743,8 +751,11 @@
             group = [h for a in tried for h in subset.cell_of(a) if self._spared(h, held.work)]
             host = self._least(held, tried, group)
         if host is None:
-            resting = [h for h in subset.failing if h not in tried and self._may_send(held, h)
-                       and self._spared(h, held.work)]
+            resting = [
+                h
+                for h in subset.failing
+                if h not in tried and self._may_send(held, h) and self._spared(h, held.work)
+            ]
             host = min(resting, key=lambda h: h.down_until, default=None)
         return host
 
@@ -778,7 +789,7 @@
                 continue
             # In turn: so the connections to all of a subset are kept, by all alike, and one that was slow by
             # chance is not left for good.
-            score = (host.open + 1) * host.slow ** 0.5 / host.nominal
+            score = (host.open + 1) * host.slow**0.5 / host.nominal
             score *= 1.3 + 0.1 * self.rng.random() - 0.1 * min((self.now - host.sent_at) / round_ms, 3.0)
             if self.thin and self.now - host.idle_at > kept_ms:
                 score *= DIAL  # each new one costs a handshake, and fills a table that all share
@@ -827,7 +838,7 @@
     def _down(self, host: _Host) -> None:
         if host.fails and self.now < host.down_until:
             return
-        host.down_until = self.now + min(BACKOFF_MS * 2 ** host.fails, BACKOFF_MAX_MS)
+        host.down_until = self.now + min(BACKOFF_MS * 2**host.fails, BACKOFF_MAX_MS)
         host.fails = min(host.fails + 1, 10)
         self.subset.stale = True
         self._say("host", f"{host.name} fails: resting it")
@@ -845,7 +856,8 @@
             return False
         scope = held.cls.key_scope
         return scope == "all" or all(
-            a.host.zone == host.zone and (scope == "zone" or a.host.cell == host.cell) for a in risky)
+            a.host.zone == host.zone and (scope == "zone" or a.host.cell == host.cell) for a in risky
+        )
 
     def _window_left(self, held: _Held) -> float:
         """How long a repeat may still be written: the window runs from the decision on the first attempt that
@@ -862,8 +874,13 @@
         """
         timeout = max(held.aim_at - self.now - self.s.tick_ms, min(1.0, held.end_at - self.now))
         early = max(timeout / 2, PATIENCE * self._usual(held))
-        if (self.admission.occupancy.lost > LOST and held.cls.effect != "unsafe" and self.bank >= 1
-                and len(held.attempts) + 1 < self.s.try_limit and early + self._usual(held) < timeout):
+        if (
+            self.admission.occupancy.lost > LOST
+            and held.cls.effect != "unsafe"
+            and self.bank >= 1
+            and len(held.attempts) + 1 < self.s.try_limit
+            and early + self._usual(held) < timeout
+        ):
             timeout = early
         write_by = self._window_left(held)
         block = self.admission.occupancy.classes[held.cls.name].send(self.now)
--- a/yewstage/subset.py
+++ b/yewstage/subset.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterator
 from functools import lru_cache
 
-GOLDEN = (5 ** 0.5 - 1) / 2
+GOLDEN = (5**0.5 - 1) / 2
 
 
 def place(me: int, fleet_size: int) -> float:
@@ -63,7 +63,7 @@
         """All hosts once, in the order of their places, from `start` (0 <= start < 1) on and round."""
         heads = []
         for zone, hosts in self._zones.items():
-            phase = digest(zone) / 2 ** 64  # else the first hosts of all zones would lie together
+            phase = digest(zone) / 2**64  # else the first hosts of all zones would lie together
             first = math.ceil(start * len(hosts) - phase)
             heads.append(((first + phase) / len(hosts), zone, phase, first, first + len(hosts)))
         heapq.heapify(heads)
--- a/yewstage/wire.py
+++ b/yewstage/wire.py
@@ -8,9 +8,16 @@
 
 from yewstage import interface as api
 
-RESULTS = {"Ok": api.OK, "Failed": api.ERROR, "QueueFull": api.FULL, "TimedOut": api.TIMED_OUT,
-           "ConnectError": api.CONNECT_FAILED, "ResetByPeer": api.RESET, "Canceled": api.CANCELLED,
-           "Ignored": api.MOOT}
+RESULTS = {
+    "Ok": api.OK,
+    "Failed": api.ERROR,
+    "QueueFull": api.FULL,
+    "TimedOut": api.TIMED_OUT,
+    "ConnectError": api.CONNECT_FAILED,
+    "ResetByPeer": api.RESET,
+    "Canceled": api.CANCELLED,
+    "Ignored": api.MOOT,
+}
 LIST_KINDS = {"Partial": "changes", "Complete": "full", "Persisted": "kept", "Error": "failed"}
 STATUSES = ("up", "draining", "removed")
 
@@ -101,35 +108,60 @@
 
     classes = tuple(
         api.RequestClass(
-            name=pairs.get(f"grades.{i}.name", ""), aim_ms=num(f"grades.{i}.objective_ms"),
-            deadline_ms=num(f"grades.{i}.deadline_ms"), worth=num(f"grades.{i}.worth", 1.0),
-            late_worth=num(f"grades.{i}.late_worth"), effect=pairs.get(f"grades.{i}.effect", "safe"),
-            key_scope=pairs.get(f"grades.{i}.key_scope", "all"), window_ms=num(f"grades.{i}.window_ms"),
-            stream=yes(f"grades.{i}.stream"))
-        for i in range(int(num("grades.count"))))
+            name=pairs.get(f"grades.{i}.name", ""),
+            aim_ms=num(f"grades.{i}.objective_ms"),
+            deadline_ms=num(f"grades.{i}.deadline_ms"),
+            worth=num(f"grades.{i}.worth", 1.0),
+            late_worth=num(f"grades.{i}.late_worth"),
+            effect=pairs.get(f"grades.{i}.effect", "safe"),
+            key_scope=pairs.get(f"grades.{i}.key_scope", "all"),
+            window_ms=num(f"grades.{i}.window_ms"),
+            stream=yes(f"grades.{i}.stream"),
+        )
+        for i in range(int(num("grades.count")))
+    )
     plans = tuple(
         api.Plan(
-            name=pairs.get(f"packages.{i}.name", ""), rate=num(f"packages.{i}.refill"),
-            burst=num(f"packages.{i}.burst"), worth=num(f"packages.{i}.worth_factor", 1.0),
-            over_worth=num(f"packages.{i}.over_worth"), over_cost=num(f"packages.{i}.over_cost"),
-            ceiling_rate=num(f"packages.{i}.ceiling_rate"), ceiling_burst=num(f"packages.{i}.hard_burst"),
-            ceiling_slack=num(f"packages.{i}.tolerance"), parallel=int(num(f"packages.{i}.parallel")))
-        for i in range(int(num("packages.count"))))
+            name=pairs.get(f"packages.{i}.name", ""),
+            rate=num(f"packages.{i}.refill"),
+            burst=num(f"packages.{i}.burst"),
+            worth=num(f"packages.{i}.worth_factor", 1.0),
+            over_worth=num(f"packages.{i}.over_worth"),
+            over_cost=num(f"packages.{i}.over_cost"),
+            ceiling_rate=num(f"packages.{i}.ceiling_rate"),
+            ceiling_burst=num(f"packages.{i}.hard_burst"),
+            ceiling_slack=num(f"packages.{i}.tolerance"),
+            parallel=int(num(f"packages.{i}.parallel")),
+        )
+        for i in range(int(num("packages.count")))
+    )
     return api.Settings(
-        classes=classes, plans=plans, me=int(num("me")), fleet_size=int(num("fleet_size", 1)),
-        zone=pairs.get("zone", ""), try_limit=int(num("bounds.try_limit", 1)),
-        second_copies=yes("bounds.second_copies"), cancel=yes("bounds.cancel"),
+        classes=classes,
+        plans=plans,
+        me=int(num("me")),
+        fleet_size=int(num("fleet_size", 1)),
+        zone=pairs.get("zone", ""),
+        try_limit=int(num("bounds.try_limit", 1)),
+        second_copies=yes("bounds.second_copies"),
+        cancel=yes("bounds.cancel"),
         max_retry_after_ms=num("bounds.max_retry_after_ms"),
-        probing=yes("bounds.probing"), peers=yes("bounds.peers"),
+        probing=yes("bounds.probing"),
+        peers=yes("bounds.peers"),
         must_ask=pairs.get("membership_mode", "pushed") == "on_request",
-        may_count=yes("family_info.may_count"), count_wait_ms=num("family_info.count_wait_ms", 50.0),
+        may_count=yes("family_info.may_count"),
+        count_wait_ms=num("family_info.count_wait_ms", 50.0),
         most_units=num("family_info.most_units") or math.inf,
-        trued_up=yes("family_info.trued_up"), use_period_ms=num("family_info.use_period_ms"),
+        trued_up=yes("family_info.trued_up"),
+        use_period_ms=num("family_info.use_period_ms"),
         conn_idle_ms=num("bounds.conn_idle_ms", 30000.0),
-        tick_ms=num("tick_ms", 1.0), answer_slack_ms=num("rules.answer_slack_ms"),
-        drain_grace_ms=num("rules.stop_sending_within_ms"), cold_from=num("rules.cold_from", 1.0),
-        cold_ms=num("rules.cold_ms"), fall_multiple=num("rules.fall_multiple", 1.0),
-        tip_after_ms=num("rules.tip_after_ms"))
+        tick_ms=num("tick_ms", 1.0),
+        answer_slack_ms=num("rules.answer_slack_ms"),
+        drain_grace_ms=num("rules.stop_sending_within_ms"),
+        cold_from=num("rules.cold_from", 1.0),
+        cold_ms=num("rules.cold_ms"),
+        fall_multiple=num("rules.fall_multiple", 1.0),
+        tip_after_ms=num("rules.tip_after_ms"),
+    )
 
 
 def server(parts: list[str]) -> api.Server:
@@ -146,13 +178,31 @@
 
 
 def _request(f: list[str]) -> api.Request:
-    return api.Request(f[0], f[1], f[2], f[3], number(f[4]), number(f[5]), integer(f[6]), integer(f[7]),
-                       bool(integer(f[8]) & 2))
+    return api.Request(
+        f[0],
+        f[1],
+        f[2],
+        f[3],
+        number(f[4]),
+        number(f[5]),
+        integer(f[6]),
+        integer(f[7]),
+        bool(integer(f[8]) & 2),
+    )
 
 
 def _outcome(f: list[str]) -> api.Outcome:
-    return api.Outcome(f[0], integer(f[1]), f[2], one_of(RESULTS, f[3]), number(f[4]), flag(f[5]),
-                       number(f[6]), number(f[7]), report(f[8]))
+    return api.Outcome(
+        f[0],
+        integer(f[1]),
+        f[2],
+        one_of(RESULTS, f[3]),
+        number(f[4]),
+        flag(f[5]),
+        number(f[6]),
+        number(f[7]),
+        report(f[8]),
+    )
 
 
 def _peer(f: list[str]) -> api.PeerMessage:
