--- a/yewstage/__main__.py
+++ b/api_gateway/__main__.py
@@ -12,9 +12,9 @@
 
 import uvloop
 
-from yewstage.net.clients import Server
-from yewstage.net.config import Config, ConfigError, load
-from yewstage.net.core import Core
+from api_gateway.configuration import Config, ConfigError, load
+from api_gateway.network.dispatcher import Core
+from api_gateway.network.downstream.listener import Server
 
 ACCEPT_S = 0.5  # after SIGTERM, connections still come for 0.4 s
 LONGEST_S = 3.0  # SIGKILL comes 0.7 s after the longest deadline, or this if that is less, at the soonest
--- a/yewstage/net/config.py
+++ b/api_gateway/configuration.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass, replace
 from pathlib import Path
 
-from yewstage import interface as api
-from yewstage import wire
-from yewstage.net.discovery import Listing, parse_listing
+from api_gateway import interface as api
+from api_gateway.network.discovery import Listing, parse_listing
+from api_gateway.simulator import codec as wire
 
 Address = tuple[str, int]
 COUNT_PATIENCE = 3.0  # how long a counter call is waited for, in the time that the settings give it
--- a/yewstage/admission.py
+++ b/api_gateway/decisions/admission.py
@@ -6,8 +6,8 @@
 
 from __future__ import annotations
 
-from yewstage import interface as api
-from yewstage.occupancy import Q_MIN, Occupancy
+from api_gateway import interface as api
+from api_gateway.decisions.occupancy import Q_MIN, Occupancy
 
 Q_MAX, F_MIN = 0.45, 0.05  # the occupancy at which the ramp ends, and the fraction that it ends at
 UNSEEN_LIFT = 0.25  # the ramp lies so much higher where we see nothing of the hosts' load when we choose
--- a/yewstage/policy.py
+++ b/api_gateway/decisions/gateway.py
@@ -1,4 +1,4 @@
-"""Every decision of yewstage. Settings, events and actions: yewstage/interface.py (times in milliseconds).
+"""The decisions of one gateway. Settings, events and actions: `api_gateway.interface`.
 
 A request's life: quota and ceiling, admission by SiRED, choice of a server, attempts, one final answer.
 """
@@ -12,10 +12,10 @@
 from collections.abc import Iterable, Iterator
 from itertools import chain, islice
 
-from yewstage import interface as api
-from yewstage.admission import FEW_SAMPLES, OUT_TOO_LONG, Admission
-from yewstage.occupancy import FEW, PATIENCE, Q_MIN, LatencyBlock
-from yewstage.subset import Ring, digest, place
+from api_gateway import interface as api
+from api_gateway.decisions.admission import FEW_SAMPLES, OUT_TOO_LONG, Admission
+from api_gateway.decisions.occupancy import FEW, PATIENCE, Q_MIN, LatencyBlock
+from api_gateway.decisions.subset import Ring, digest, place
 
 SWEEP_MS = 100.0  # spacing of the housekeeping timer and of the q updates: a tenth of the quickest trouble
 OUTCOMES = 125  # outcomes that also close a q interval (design page)
@@ -318,7 +318,7 @@
             case api.TimerDue() | api.ProbeReply() | api.PeerMessage():
                 pass
             case _:
-                raise TypeError(f"not an event of yewstage.interface: {event!r}")
+                raise TypeError(f"not an event of api_gateway.interface: {event!r}")
         return self.out
 
     def _server_list(self, event: api.ServerList) -> None:
--- a/yewstage/occupancy.py
+++ b/api_gateway/decisions/occupancy.py
@@ -11,7 +11,7 @@
 import math
 from collections.abc import Iterable
 
-from yewstage import interface as api
+from api_gateway import interface as api
 
 OUTCOMES_KEPT = 20.0  # outcomes in the memory of q, and requests in a block of one class
 FEW = 5.0  # outcomes below which an estimate weighs less
--- a/yewstage/net/counter.py
+++ b/api_gateway/network/counter.py
@@ -7,8 +7,8 @@
 from collections import deque
 from collections.abc import Callable
 
-from yewstage import interface as api
-from yewstage.net.http1 import Reply, ReplyProtocol, number
+from api_gateway import interface as api
+from api_gateway.network.response_parser import Reply, ReplyProtocol, number
 
 log = logging.getLogger(__name__)
 
--- a/yewstage/net/discovery.py
+++ b/api_gateway/network/discovery.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from yewstage import interface as api
-from yewstage.net.http1 import LONGEST_LIST, Reply, ReplyProtocol
+from api_gateway import interface as api
+from api_gateway.network.response_parser import LONGEST_LIST, Reply, ReplyProtocol
 
 log = logging.getLogger(__name__)
 
--- a/yewstage/net/core.py
+++ b/api_gateway/network/dispatcher.py
@@ -10,13 +10,13 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from yewstage import interface as api
-from yewstage.net.config import Config, upstream_sockets
-from yewstage.net.counter import Counter
-from yewstage.net.discovery import ROUND_S, Discovery, Listing
-from yewstage.net.hosts import Attempt, Hosts
-from yewstage.net.http1 import Reply
-from yewstage.policy import Gateway
+from api_gateway import interface as api
+from api_gateway.configuration import Config, upstream_sockets
+from api_gateway.decisions.gateway import Gateway
+from api_gateway.network.counter import Counter
+from api_gateway.network.discovery import ROUND_S, Discovery, Listing
+from api_gateway.network.response_parser import Reply
+from api_gateway.network.upstream.pool import Attempt, Hosts
 
 log = logging.getLogger(__name__)
 
--- /dev/null
+++ b/api_gateway/network/downstream/__init__.py
@@ -0,0 +1,1 @@
+"""Connections from clients: the listener and the parsing and validation of requests."""
--- a/yewstage/net/clients.py
+++ b/api_gateway/network/downstream/listener.py
@@ -14,11 +14,11 @@
 
 import httptools
 
-from yewstage import interface as api
-from yewstage.net.config import client_sockets
-from yewstage.net.core import Core, Order
-from yewstage.net.http1 import LONGEST_BODY
-from yewstage.net.peek import hung_up, readable
+from api_gateway import interface as api
+from api_gateway.configuration import client_sockets
+from api_gateway.network.dispatcher import Core, Order
+from api_gateway.network.response_parser import LONGEST_BODY
+from api_gateway.network.socket_state import hung_up, readable
 
 log = logging.getLogger(__name__)
 
--- /dev/null
+++ b/api_gateway/network/upstream/__init__.py
@@ -0,0 +1,1 @@
+"""Connections to the upstream endpoints."""
--- a/yewstage/net/hosts.py
+++ b/api_gateway/network/upstream/pool.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from functools import partial
 
-from yewstage import interface as api
-from yewstage.net.http1 import Reply, ReplyProtocol
+from api_gateway import interface as api
+from api_gateway.network.response_parser import Reply, ReplyProtocol
 
 GRACE_S = 0.002  # a turn of the loop or two, in which what has arrived is read before a time-out counts
 IDLE_SHARE = 0.5  # idle connections are retired after this part of the host's idle limit
--- /dev/null
+++ b/api_gateway/simulator/__main__.py
@@ -0,0 +1,7 @@
+"""`python -m api_gateway.simulator`: serve the simulator's wire on standard input and output."""
+
+import sys
+
+from api_gateway.simulator.adapter import main
+
+sys.exit(main())
--- a/yewstage/wirehost.py
+++ b/api_gateway/simulator/adapter.py
@@ -6,9 +6,9 @@
 from collections.abc import Iterable, Iterator
 from typing import TextIO
 
-from yewstage import interface as api
-from yewstage import wire
-from yewstage.policy import Gateway
+from api_gateway import interface as api
+from api_gateway.decisions.gateway import Gateway
+from api_gateway.simulator import codec as wire
 
 
 class Host:
--- a/yewstage/wire.py
+++ b/api_gateway/simulator/codec.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from yewstage import interface as api
+from api_gateway import interface as api
 
 RESULTS = {
     "Ok": api.OK,
--- a/testbed/hollow.py
+++ b/testbed/hollow.py
@@ -12,14 +12,14 @@
 from collections import deque
 from collections.abc import Callable
 
+from api_gateway import interface as api
+from api_gateway.configuration import Config
+from api_gateway.network.dispatcher import Core, Order
+from api_gateway.network.response_parser import Reply
+from api_gateway.network.upstream.pool import Attempt
 from testbed import configuration
 from testbed.hosts import HostTimes
 from testbed.latency import Added
-from yewstage import interface as api
-from yewstage.net.config import Config
-from yewstage.net.core import Core, Order
-from yewstage.net.hosts import Attempt
-from yewstage.net.http1 import Reply
 
 DIAL_MS = 2.0  # a trip across a zone and back, and the host's work on it
 SERVED = Reply(200, {}, b"", True)
@@ -27,7 +27,7 @@
 
 
 class ReckonedHosts:
-    """Stands in for `yewstage.net.hosts.Hosts`: a pool by the same rules, with no sockets behind it."""
+    """Stands in for the upstream pool `Hosts`: a pool by the same rules, with no sockets behind it."""
 
     times: HostTimes  # shared by all gateways of a process
     load: dict[str, int] = {}  # by host: attempts that reached it
--- a/testbed/role.py
+++ b/testbed/role.py
@@ -14,6 +14,7 @@
 import msgspec
 import uvloop
 
+from api_gateway.configuration import parse
 from testbed import configuration
 from testbed.clients import Clients
 from testbed.counter import Counts
@@ -21,7 +22,6 @@
 from testbed.hollow import HollowFleet, ReckonedHosts
 from testbed.hosts import Hosts
 from testbed.http import serve
-from yewstage.net.config import parse
 
 
 class Stand:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -14,8 +14,8 @@
 
 import uvloop
 
-from yewstage import interface as api
-from yewstage.policy import Gateway
+from api_gateway import interface as api
+from api_gateway.decisions.gateway import Gateway
 
 SAFE = api.RequestClass("read", aim_ms=1000, deadline_ms=4000, worth=3)
 KEYED = api.RequestClass(
@@ -360,7 +360,7 @@
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "yewstage",
+            "api_gateway",
             cwd=ROOT,
             stderr=asyncio.subprocess.PIPE,
             env={
--- a/tests/event_play.py
+++ b/tests/event_play.py
@@ -7,7 +7,7 @@
 import random
 from collections.abc import Callable
 
-from yewstage import interface as api
+from api_gateway import interface as api
 
 
 class EventPlay:
--- a/tests/fleet_play.py
+++ b/tests/fleet_play.py
@@ -12,8 +12,8 @@
 
 from conftest import OPEN, SAFE, settings
 
-from yewstage import interface as api
-from yewstage.policy import Gateway
+from api_gateway import interface as api
+from api_gateway.decisions.gateway import Gateway
 
 CAPACITY = 25.0  # calls a second that a warm host does
 
--- a/tests/host_play.py
+++ b/tests/host_play.py
@@ -13,8 +13,8 @@
 from conftest import OPEN, settings
 from event_play import EventPlay
 
-from yewstage import interface as api
-from yewstage.policy import Gateway
+from api_gateway import interface as api
+from api_gateway.decisions.gateway import Gateway
 
 SIGMA = 0.7  # of the logarithm of lognormal work
 
--- a/tests/quota_play.py
+++ b/tests/quota_play.py
@@ -8,8 +8,8 @@
 from conftest import server, settings
 from event_play import EventPlay
 
-from yewstage import interface as api
-from yewstage.policy import Gateway
+from api_gateway import interface as api
+from api_gateway.decisions.gateway import Gateway
 
 SWEEP_MS = 100.0
 SERVED_MS = 50.0
--- a/tests/test_acceptance_terms.py
+++ b/tests/test_acceptance_terms.py
@@ -34,13 +34,13 @@
 from fleet_play import Play
 from test_net_parts import Answers, Held, an_order, core_with, dialling
 
-from yewstage import interface as api
-from yewstage.net.clients import Server
-from yewstage.net.config import LEAST_SOCKETS, ConfigError, client_sockets, parse, upstream_sockets
-from yewstage.net.core import Core
-from yewstage.net.discovery import ROUND_S, Discovery, Listing, parse_listing
-from yewstage.net.hosts import Hosts
-from yewstage.net.http1 import Reply
+from api_gateway import interface as api
+from api_gateway.configuration import LEAST_SOCKETS, ConfigError, client_sockets, parse, upstream_sockets
+from api_gateway.network.discovery import ROUND_S, Discovery, Listing, parse_listing
+from api_gateway.network.dispatcher import Core
+from api_gateway.network.downstream.listener import Server
+from api_gateway.network.response_parser import Reply
+from api_gateway.network.upstream.pool import Hosts
 
 # --- A repeat keeps its window (the rule on duplicates) ----------------------------------------------------
 
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -9,9 +9,9 @@
 import pytest
 from conftest import LOOP, PLAN, SAFE, message, on_loop, settings
 
-from yewstage.net import clients as clients_module
-from yewstage.net.clients import Server
-from yewstage.net.core import Order
+from api_gateway.network.dispatcher import Order
+from api_gateway.network.downstream import listener as clients_module
+from api_gateway.network.downstream.listener import Server
 
 ACCEPTS = clients_module.ACCEPTS
 
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -8,7 +8,7 @@
 from host_play import HostPlay, Load
 from quota_play import QuotaPlay
 
-from yewstage import interface as api
+from api_gateway import interface as api
 
 SEEDS = (1, 2, 3)
 NEAR = api.RequestClass("near", aim_ms=100, deadline_ms=400, worth=5)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -9,9 +9,8 @@
 import pytest
 from conftest import GRADES, PACKAGES
 
-from yewstage.net import config as configuration
-from yewstage.net.core import list_spread_s
-from yewstage.net.discovery import (
+from api_gateway import configuration
+from api_gateway.network.discovery import (
     BACKOFF_S,
     CALL_S,
     PROGRESS_S,
@@ -20,7 +19,8 @@
     Discovery,
     Listing,
 )
-from yewstage.net.http1 import Reply
+from api_gateway.network.dispatcher import list_spread_s
+from api_gateway.network.response_parser import Reply
 
 
 class Timer:
--- a/tests/test_fleet_quota.py
+++ b/tests/test_fleet_quota.py
@@ -6,8 +6,8 @@
 
 from conftest import server, settings
 
-from yewstage import interface as api
-from yewstage.policy import Gateway
+from api_gateway import interface as api
+from api_gateway.decisions.gateway import Gateway
 
 FLEET = 200
 PLAN = api.Plan("team", rate=5, burst=20, over_cost=1.0)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -24,7 +24,7 @@
     reply,
 )
 
-from yewstage.net.hosts import REST_S
+from api_gateway.network.upstream.pool import REST_S
 
 
 def serve(seen: Seen) -> bytes:
@@ -673,7 +673,7 @@
     path = tmp_path / "config.json"
     path.write_text(raw)
     done = subprocess.run(
-        [sys.executable, "-m", "yewstage"],
+        [sys.executable, "-m", "api_gateway"],
         cwd=ROOT,
         capture_output=True,
         text=True,
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -11,13 +11,13 @@
 import pytest
 from conftest import GRADES, LOOP, PACKAGES, Fake, Seen, instance, on_loop, reply
 
-from yewstage import interface as api
-from yewstage.net import core as core_module
-from yewstage.net import counter as counter_module
-from yewstage.net.config import parse
-from yewstage.net.core import Core, Order
-from yewstage.net.counter import Counter
-from yewstage.net.discovery import Listing, parse_listing
+from api_gateway import interface as api
+from api_gateway.configuration import parse
+from api_gateway.network import counter as counter_module
+from api_gateway.network import dispatcher as core_module
+from api_gateway.network.counter import Counter
+from api_gateway.network.discovery import Listing, parse_listing
+from api_gateway.network.dispatcher import Core, Order
 
 
 class Script:
--- a/tests/test_odd_events.py
+++ b/tests/test_odd_events.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from yewstage import Gateway
-from yewstage import interface as api
+from api_gateway import Gateway
+from api_gateway import interface as api
 
 RESULTS = [api.OK, api.ERROR, api.FULL, api.TIMED_OUT, api.CONNECT_FAILED, api.RESET, api.CANCELLED, api.MOOT]
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -12,10 +12,11 @@
 import pytest
 from conftest import CAPPED, PLAN, ROOT, Driver, of, server, settings
 
-from yewstage import admission, occupancy, policy
-from yewstage import interface as api
-from yewstage.admission import ramp
-from yewstage.policy import Gateway
+from api_gateway import interface as api
+from api_gateway.decisions import admission, occupancy
+from api_gateway.decisions import gateway as policy
+from api_gateway.decisions.admission import ramp
+from api_gateway.decisions.gateway import Gateway
 
 # --- The ordinary path ---
 
@@ -737,7 +738,7 @@
 
 def test_module_keeps_its_form() -> None:
     files = [ROOT / name for name in tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]]
-    ours = {f"yewstage.{file.stem}" for file in files}
+    ours = {".".join(file.relative_to(ROOT).with_suffix("").parts) for file in files}
     assert Path(policy.__file__) in files
     for file in files:
         lines = file.read_text().splitlines()
@@ -749,6 +750,6 @@
             names = [a.name for a in node.names] if isinstance(node, ast.Import) else []
             names += [node.module] if isinstance(node, ast.ImportFrom) else []
             for name in names:
-                assert name == "yewstage" or name in ours or name.split(".")[0] in sys.stdlib_module_names
-            if isinstance(node, ast.ImportFrom) and node.module == "yewstage":
+                assert name == "api_gateway" or name in ours or name.split(".")[0] in sys.stdlib_module_names
+            if isinstance(node, ast.ImportFrom) and node.module == "api_gateway":
                 assert [a.name for a in node.names] == ["interface"]
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -9,9 +9,9 @@
 from conftest import OPEN, SAFE, Driver, of, server, settings
 from fleet_play import Play
 
-from yewstage import interface as api
-from yewstage.policy import LOOK, SUBSET_MIN, Gateway
-from yewstage.subset import Ring, place
+from api_gateway import interface as api
+from api_gateway.decisions.gateway import LOOK, SUBSET_MIN, Gateway
+from api_gateway.decisions.subset import Ring, place
 
 
 def ring(names: list[str], zones: int = 3) -> Ring:
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -15,6 +15,9 @@
 import pytest
 from conftest import LOOP, ROOT, on_loop
 
+from api_gateway.configuration import parse
+from api_gateway.network import discovery as discovery_calls
+from api_gateway.network.discovery import parse_listing
 from testbed import configuration
 from testbed.children import ChildError, Children
 from testbed.counter import Counts
@@ -26,9 +29,6 @@
 from testbed.plan import Plan, Report
 from testbed.quotas import reckon
 from testbed.scale import memory_needed_mb
-from yewstage.net import discovery as discovery_calls
-from yewstage.net.config import parse
-from yewstage.net.discovery import parse_listing
 
 
 async def ask(server: asyncio.Server, *targets: str) -> list[tuple[int, bytes]]:
--- a/tests/test_thin_traffic.py
+++ b/tests/test_thin_traffic.py
@@ -5,9 +5,9 @@
 import pytest
 from conftest import Driver
 
-from yewstage import interface as api
-from yewstage.admission import F_MIN, Q_MAX, Q_MIN, UNSEEN_LIFT, ramp, unseen_lift
-from yewstage.policy import TRIAL_BANK, TRIAL_SHARE
+from api_gateway import interface as api
+from api_gateway.decisions.admission import F_MIN, Q_MAX, Q_MIN, UNSEEN_LIFT, ramp, unseen_lift
+from api_gateway.decisions.gateway import TRIAL_BANK, TRIAL_SHARE
 
 
 def trickle(driver: Driver, took: list[float], out: int, rounds: int = 120) -> float:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -37,7 +37,7 @@
 def run(text: str, hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
     env = {**os.environ, "PYTHONHASHSEED": hash_seed}
     return subprocess.run(
-        [sys.executable, "-m", "yewstage.wirehost"],
+        [sys.executable, "-m", "api_gateway.simulator"],
         input=text,
         capture_output=True,
         text=True,
@@ -148,6 +148,8 @@
 
 def test_deploy_file_is_as_agreed() -> None:
     text = (ROOT / "deploy" / "balancer.toml").read_text()
-    parts = ", ".join(f'"yewstage/{part}.py"' for part in ("policy", "admission", "occupancy", "subset"))
+    parts = ", ".join(
+        f'"api_gateway/decisions/{part}.py"' for part in ("gateway", "admission", "occupancy", "subset")
+    )
     assert f"policy = [{parts}]" in text
-    assert 'sim = "exec .venv/bin/python -m yewstage.wirehost"' in text
+    assert 'sim = "exec .venv/bin/python -m api_gateway.simulator"' in text
