--- a/api_gateway/__main__.py
+++ b/api_gateway/__main__.py
@@ -12,9 +12,9 @@
 
 import uvloop
 
-from api_gateway.configuration import Config, ConfigError, load
-from api_gateway.network.dispatcher import Core
-from api_gateway.network.downstream.listener import Server
+from api_gateway.configuration import Configuration, ConfigurationError, load
+from api_gateway.network.dispatcher import Dispatcher
+from api_gateway.network.downstream.listener import Listener
 
 ACCEPT_S = 0.5  # after SIGTERM, connections still come for 0.4 s
 LONGEST_S = 3.0  # SIGKILL comes 0.7 s after the longest deadline, or this if that is less, at the soonest
@@ -52,18 +52,18 @@
 class Shutdown:
     """SIGTERM: accept a little longer, finish what was taken, then end."""
 
-    def __init__(self, core: Core, server: Server, loop: asyncio.AbstractEventLoop) -> None:
-        self._core, self._server, self._loop = core, server, loop
+    def __init__(self, dispatcher: Dispatcher, server: Listener, loop: asyncio.AbstractEventLoop) -> None:
+        self._dispatcher, self._server, self._loop = dispatcher, server, loop
         self.done = asyncio.Event()
-        longest = max(c.deadline_ms for c in core.settings.classes) / 1000
+        longest = max(c.deadline_ms for c in dispatcher.settings.classes) / 1000
         self._last_s = min(longest, LONGEST_S) + LAST_S
 
     def begin(self) -> None:
         """The signal."""
-        if self._core.draining:
+        if self._dispatcher.draining:
             return
         logging.info("draining")
-        self._core.draining = True
+        self._dispatcher.draining = True
         self._loop.call_later(ACCEPT_S, self._stop_accepting)
         self._loop.call_later(self._last_s, self._end)
 
@@ -76,32 +76,32 @@
 
     def _end(self) -> None:
         # Guards against SIGKILL: what is open then would be lost, an answer now is none too late.
-        self._core.fail_all()
+        self._dispatcher.fail_pending_requests()
         self._loop.call_later(FLUSH_S, self.done.set)
 
 
-def _reload(core: Core) -> None:
+def _reload(dispatcher: Dispatcher) -> None:
     """SIGHUP: a file that is no good changes nothing."""
     try:
         config = load(os.environ, again=True)
-    except ConfigError as error:
+    except ConfigurationError as error:
         logging.error("reload: the configuration is kept: %s", error)
         return
-    core.reload(config)
+    dispatcher.reload(config)
     logging.info("reloaded: discovery %s:%d", *config.discovery)
 
 
-async def serve(config: Config) -> None:
+async def serve(config: Configuration) -> None:
     """Run until SIGTERM or SIGINT has been served."""
     loop = asyncio.get_running_loop()
-    core = Core(config, loop)
-    server = Server(core, loop, config.sockets)
-    shutdown = Shutdown(core, server, loop)
+    dispatcher = Dispatcher(config, loop)
+    server = Listener(dispatcher, loop, config.sockets)
+    shutdown = Shutdown(dispatcher, server, loop)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, shutdown.begin)
-    loop.add_signal_handler(signal.SIGHUP, _reload, core)
-    core.start()
-    await core.informed.wait()  # no client is taken before the list is as told
+    loop.add_signal_handler(signal.SIGHUP, _reload, dispatcher)
+    dispatcher.start()
+    await dispatcher.endpoints_known.wait()  # no client is taken before the list is as told
     host, port = server.start(config.listen)
     logging.info("listening on %s:%d", host, port)
     gc.freeze()
@@ -109,14 +109,14 @@
     await shutdown.done.wait()
     # Guards the exit status: the loop's handlers go first, and a SIGHUP without one ends the process.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
-    core.stop()
+    dispatcher.stop()
 
 
 def main() -> int:
     """0 after a drain; 2 with one plain line if the configuration is no good or the address is taken."""
     try:
         config = load(os.environ)
-    except ConfigError as error:
+    except ConfigurationError as error:
         print(error, file=sys.stderr)
         return 2
     _set_up_log(config.name)
--- a/api_gateway/configuration.py
+++ b/api_gateway/configuration.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, replace
 from pathlib import Path
 
-from api_gateway import interface as api
-from api_gateway.network.discovery import Listing, parse_listing
+from api_gateway.model.settings import Settings
+from api_gateway.network.discovery import EndpointList, parse_endpoint_list
 from api_gateway.simulator import codec as wire
 
 Address = tuple[str, int]
@@ -22,12 +22,12 @@
 OWN_SOCKETS = 30
 
 
-class ConfigError(ValueError):
+class ConfigurationError(ValueError):
     """A configuration that no gateway can be started with; the text names the field."""
 
 
 @dataclass(slots=True, frozen=True)
-class Config:
+class Configuration:
     """What one gateway is told when it starts."""
 
     name: str
@@ -36,27 +36,27 @@
     counter: Address | None
     seed: int
     sockets: int
-    settings: api.Settings
-    known: Listing
+    settings: Settings
+    known: EndpointList
     dial_ms: float
     idle_ms: float
     ask_within_ms: float = 10000.0  # who has not asked discovery for so long counts as told
 
 
-def load(environ: Mapping[str, str], again: bool = False) -> Config:
+def load(environ: Mapping[str, str], again: bool = False) -> Configuration:
     """The configuration that `ROUTER_CONFIG` names; the single variables go before the file.
 
     When it is read again the file has the news: the environment tells where discovery was at the start.
     """
     path = environ.get("ROUTER_CONFIG")
     if not path:
-        raise ConfigError("ROUTER_CONFIG: is not set")
+        raise ConfigurationError("ROUTER_CONFIG: is not set")
     try:
         raw = json.loads(Path(path).read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
-        raise ConfigError(f"ROUTER_CONFIG: cannot be read: {error}") from None
+        raise ConfigurationError(f"ROUTER_CONFIG: cannot be read: {error}") from None
     if not isinstance(raw, dict):
-        raise ConfigError("ROUTER_CONFIG: must hold a JSON object")
+        raise ConfigurationError("ROUTER_CONFIG: must hold a JSON object")
     for field, variable in (
         ("name", "ROUTER_NAME"),
         ("listen", "ROUTER_LISTEN"),
@@ -67,21 +67,21 @@
     return parse(raw)
 
 
-def parse(raw: dict[str, object]) -> Config:
+def parse(raw: dict[str, object]) -> Configuration:
     """The object of the file as a `Config`."""
     pairs = dict(_flatten("", _object(raw, "settings")))
     settings = _settings(pairs)
     # The counter answers however late, and what it says is true then, too: given up at the bound, one call in
     # seven of a busy counter taught nothing, and the module took it for silent.
-    settings = replace(settings, count_wait_ms=COUNT_PATIENCE * settings.count_wait_ms)
+    settings = replace(settings, counter_timeout_ms=COUNT_PATIENCE * settings.counter_timeout_ms)
     counter = raw.get("counter")
-    if settings.may_count and not counter:
-        raise ConfigError("counter: is missing, though the settings allow calls")
+    if settings.counter_enabled and not counter:
+        raise ConfigurationError("counter: is missing, though the settings allow calls")
     try:
-        known = parse_listing(raw["known"]) if raw.get("known") else Listing(0, True, (), {})
+        known = parse_endpoint_list(raw["known"]) if raw.get("known") else EndpointList(0, True, (), {})
     except ValueError as error:
-        raise ConfigError(f"known: {error}") from None
-    return Config(
+        raise ConfigurationError(f"known: {error}") from None
+    return Configuration(
         name=str(raw.get("name", "")),
         listen=address(raw, "listen"),
         discovery=address(raw, "discovery"),
@@ -100,7 +100,7 @@
     """A field of the form HOST:PORT."""
     host, colon, port = str(raw.get(field, "")).rpartition(":")
     if not colon or not host or not (port.isascii() and port.isdigit() and int(port) < 65536):
-        raise ConfigError(f"{field}: {raw.get(field)!r} is not HOST:PORT")
+        raise ConfigurationError(f"{field}: {raw.get(field)!r} is not HOST:PORT")
     return host.strip("[]"), int(port)
 
 
@@ -117,7 +117,7 @@
 def _object(raw: Mapping[str, object], field: str) -> dict[str, object]:
     value = raw.get(field)
     if not isinstance(value, dict):
-        raise ConfigError(f"{field}: must be an object")
+        raise ConfigurationError(f"{field}: must be an object")
     return value
 
 
@@ -139,12 +139,12 @@
         yield path, str(value)
 
 
-def _settings(pairs: dict[str, str]) -> api.Settings:
+def _settings(pairs: dict[str, str]) -> Settings:
     try:
         settings = wire.settings([f"{key}={value}" for key, value in pairs.items()])
         settings.check()
     except ValueError as error:
-        raise ConfigError(f"settings: {error}") from None
+        raise ConfigurationError(f"settings: {error}") from None
     return settings
 
 
@@ -152,9 +152,9 @@
     try:
         value = wire.number(pairs[key]) if key in pairs else default
     except ValueError as error:
-        raise ConfigError(f"settings: {key}: {error}") from None
+        raise ConfigurationError(f"settings: {key}: {error}") from None
     if value <= 0:
-        raise ConfigError(f"settings: {key}: must be above 0")
+        raise ConfigurationError(f"settings: {key}: must be above 0")
     return value
 
 
@@ -162,17 +162,17 @@
     try:
         return int(str(raw.get("seed", "")), 16)
     except ValueError:
-        raise ConfigError(f"seed: {raw.get('seed')!r} is not a hex number") from None
+        raise ConfigurationError(f"seed: {raw.get('seed')!r} is not a hex number") from None
 
 
 def _sockets(raw: Mapping[str, object]) -> int:
     limits = raw.get("limits") or {}
     value = limits.get("sockets", DEFAULT_SOCKETS) if isinstance(limits, dict) else None
     if not isinstance(value, int) or value < LEAST_SOCKETS:
-        raise ConfigError(f"limits.sockets: must be a whole number of {LEAST_SOCKETS} or more")
+        raise ConfigurationError(f"limits.sockets: must be a whole number of {LEAST_SOCKETS} or more")
     allowed = resource.getrlimit(resource.RLIMIT_NOFILE)[0]  # the system's own limit may be lower
     if allowed != resource.RLIM_INFINITY and allowed < LEAST_SOCKETS:
-        raise ConfigError(
+        raise ConfigurationError(
             f"limits.sockets: the system allows {allowed} descriptors, {LEAST_SOCKETS} are needed"
         )
     return value if allowed == resource.RLIM_INFINITY else min(value, allowed)
--- a/api_gateway/decisions/admission.py
+++ b/api_gateway/decisions/admission.py
@@ -6,8 +6,8 @@
 
 from __future__ import annotations
 
-from api_gateway import interface as api
 from api_gateway.decisions.occupancy import Q_MIN, Occupancy
+from api_gateway.model.settings import Plan, RequestClass
 
 Q_MAX, F_MIN = 0.45, 0.05  # the occupancy at which the ramp ends, and the fraction that it ends at
 UNSEEN_LIFT = 0.25  # the ramp lies so much higher where we see nothing of the hosts' load when we choose
@@ -49,16 +49,18 @@
 class Admission:
     """What part of the new work is let in."""
 
-    def __init__(self, classes: tuple[api.RequestClass, ...]) -> None:
+    def __init__(self, classes: tuple[RequestClass, ...]) -> None:
         self.occupancy = Occupancy(classes)
         self.fraction = 1.0
         self.cells: dict[tuple[str, str], ClassPlanFraction] = {}
         self.per_host = 0.0  # requests of ours out on a host, in the mean
 
-    def admit(self, cls: api.RequestClass, plan: api.Plan, latency_ms: float, units: float) -> bool:
+    def admit(self, cls: RequestClass, plan: Plan, latency_ms: float, units: float) -> bool:
         """Whether one more request of a class and plan is let in; `latency_ms`: usual, for one unit."""
         cell = self.cells.setdefault((cls.name, plan.name), ClassPlanFraction())
-        return cell.take(cls.worth * plan.worth / max(latency_ms, 1e-6), latency_ms * max(units, 0.0))
+        return cell.take(
+            cls.priority_weight * plan.priority_weight / max(latency_ms, 1e-6), latency_ms * max(units, 0.0)
+        )
 
     def update(self, late: int) -> None:
         """The fraction for the occupancy as it is now; `late` requests are out for too long."""
--- a/api_gateway/decisions/gateway.py
+++ b/api_gateway/decisions/gateway.py
@@ -1,4 +1,4 @@
-"""The decisions of one gateway. Settings, events and actions: `api_gateway.interface`.
+"""The decisions of one gateway. Settings, events and actions: `api_gateway.model`.
 
 A request's life: quota and ceiling, admission by SiRED, choice of a server, attempts, one final answer.
 """
@@ -12,10 +12,35 @@
 from collections.abc import Iterable, Iterator
 from itertools import chain, islice
 
-from api_gateway import interface as api
 from api_gateway.decisions.admission import FEW_SAMPLES, OUT_TOO_LONG, Admission
 from api_gateway.decisions.occupancy import FEW, PATIENCE, Q_MIN, LatencyBlock
 from api_gateway.decisions.subset import Ring, digest, place
+from api_gateway.model.actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    IncrementCounter,
+    RejectRequest,
+    StartAttempt,
+    StartTimer,
+    SubscribeToEndpoints,
+    WriteLog,
+)
+from api_gateway.model.endpoints import Endpoint, EndpointStatus, UpdateKind
+from api_gateway.model.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    CounterReply,
+    EndpointUpdate,
+    Event,
+    GossipReceived,
+    HealthCheckEnded,
+    RequestReceived,
+    ResponseStarted,
+    TimerFired,
+)
+from api_gateway.model.results import AttemptResult, CounterResult
+from api_gateway.model.settings import Idempotency, KeyScope, Plan, RequestClass, Settings
 
 SWEEP_MS = 100.0  # spacing of the housekeeping timer and of the q updates: a tenth of the quickest trouble
 OUTCOMES = 125  # outcomes that also close a q interval (design page)
@@ -52,14 +77,27 @@
 MOST_USES = 8192  # customers known at once: a flood of new names must not fill the memory
 LOOKS = 64  # customers looked at in one sweep, the longest unseen first
 KEEP_MAX_MS = 60000.0  # longest life of a count
-BROKEN = frozenset((api.CONNECT_FAILED, api.RESET, api.STALE, api.UNSENT, api.WITHDRAWN))  # not the work
-NO_SAMPLE = BROKEN | {api.CANCELLED, api.SPOILT, api.NO_ROOM, api.MOOT}  # tell nothing of occupancy
+BROKEN = frozenset(
+    (
+        AttemptResult.CONNECT_FAILED,
+        AttemptResult.CONNECTION_RESET,
+        AttemptResult.STALE_CONNECTION,
+        AttemptResult.NOT_SENT,
+        AttemptResult.WITHDRAWN,
+    )
+)  # not the work
+NO_SAMPLE = BROKEN | {
+    AttemptResult.CANCELLED,
+    AttemptResult.MALFORMED_RESPONSE,
+    AttemptResult.LOCAL_LIMIT,
+    AttemptResult.NOT_STARTED,
+}  # tell nothing of occupancy
 
 
 class _Host:
     """What this gateway knows of one server."""
 
-    def __init__(self, server: api.Server) -> None:
+    def __init__(self, server: Endpoint) -> None:
         self.name = server.name
         self.open = 0
         self.slow = 1.0  # running latency over its class's usual one
@@ -73,11 +111,15 @@
         self.turn = -1  # the last of the fleet's turns in which we sent it a lone request
         self.update(server)
 
-    def update(self, server: api.Server) -> None:
-        self.zone, self.cell, self.nominal = server.zone, server.cell, max(server.nominal, 1e-6)
-        self.up = server.status == "up"
-        if server.up_since_ms > self.born:
-            self.born = self.cold_from_ms = server.up_since_ms
+    def update(self, server: Endpoint) -> None:
+        self.zone, self.failure_domain, self.weight = (
+            server.zone,
+            server.failure_domain,
+            max(server.weight, 1e-6),
+        )
+        self.up = server.status is EndpointStatus.UP
+        if server.started_at_ms > self.born:
+            self.born = self.cold_from_ms = server.started_at_ms
             self.strikes = self.fails = 0
             self.credit = 0.0  # what was left of an earlier start's budget is not this one's
             self.down_until, self.died, self.slow = 0.0, False, 1.0
@@ -87,9 +129,9 @@
     """The hosts that this gateway works with: the warm ones that follow its place on the ring that all agree
     on, as many as are wanted, and the cold and failing ones between them."""
 
-    def __init__(self, settings: api.Settings, rng: random.Random) -> None:
+    def __init__(self, settings: Settings, rng: random.Random) -> None:
         self.s, self.rng = settings, rng
-        self.place = place(settings.me, settings.fleet_size)
+        self.place = place(settings.gateway_index, settings.fleet_size)
         self.ring = Ring()  # of all that are up
         self.hosts: dict[str, _Host] = {}  # the same by name
         self.cells: dict[tuple[str, int], dict[str, _Host]] = {}
@@ -110,7 +152,7 @@
 
     def take(self, host: _Host) -> None:
         """A host is listed, in a state that may be new."""
-        self.cells.setdefault((host.zone, host.cell), {})[host.name] = host
+        self.cells.setdefault((host.zone, host.failure_domain), {})[host.name] = host
         if host.up:
             self.ring.add(host.name, host.zone)
             self.hosts[host.name] = host
@@ -118,10 +160,10 @@
 
     def drop(self, host: _Host) -> None:
         """A host is no longer listed as it was."""
-        cell = self.cells[host.zone, host.cell]
+        cell = self.cells[host.zone, host.failure_domain]
         del cell[host.name]
         if not cell:
-            del self.cells[host.zone, host.cell]
+            del self.cells[host.zone, host.failure_domain]
         if self.hosts.pop(host.name, None) is not None:
             self.ring.remove(host.name, host.zone)
         self.stale = True
@@ -146,10 +188,10 @@
             walked += 1
             if host.fails:
                 failing.append(host)
-            elif host.cold_from_ms and now < host.cold_from_ms + self.s.cold_ms:
+            elif host.cold_from_ms and now < host.cold_from_ms + self.s.slow_start_ms:
                 if len(cold) < 2 * self.size:
                     cold.append(host)
-                    self.warm_at = min(self.warm_at, host.cold_from_ms + self.s.cold_ms)
+                    self.warm_at = min(self.warm_at, host.cold_from_ms + self.s.slow_start_ms)
             else:
                 warm.append(host)
                 if host not in before:
@@ -174,7 +216,9 @@
 
     def cell_of(self, host: _Host) -> list[_Host]:
         """All hosts of a host's cell that are up and answer, in the subset or not."""
-        return [h for h in self.cells.get((host.zone, host.cell), {}).values() if h.up and not h.fails]
+        return [
+            h for h in self.cells.get((host.zone, host.failure_domain), {}).values() if h.up and not h.fails
+        ]
 
 
 class _Attempt:
@@ -187,7 +231,7 @@
     """A request that is owed an answer, or whose attempts are still out."""
 
     def __init__(
-        self, req: api.Request, cls: api.RequestClass, use: _Use, aim_at: float, end_at: float, work: float
+        self, req: RequestReceived, cls: RequestClass, use: _Use, aim_at: float, end_at: float, work: float
     ) -> None:
         self.req, self.cls, self.use, self.work = req, cls, use, work
         self.aim_at, self.end_at = aim_at, end_at
@@ -198,9 +242,11 @@
 class _Use:
     """One customer's use: the count of this window, and this gateway's part of the ceiling."""
 
-    def __init__(self, key: tuple[str, str], plan: api.Plan, width: int, now: float, age: float) -> None:
+    def __init__(self, key: tuple[str, str], plan: Plan, width: int, now: float, age: float) -> None:
         self.key, self.plan, self.seen = key, plan, now
-        self.width = self.widest = width  # of its set, as named in this window or the last; in this one
+        self.gateway_count = self.widest = (
+            width  # of its set, as named in this window or the last; in this one
+        )
         # Windows start at a phase of the customer's own: no herd of calls at their edges.
         hashed = hashlib.blake2s(key[0].encode(), digest_size=8)
         self.digest, self.phase = hashed.hexdigest(), int.from_bytes(hashed.digest()[:2], "big") / 65536
@@ -211,11 +257,11 @@
         self.calling, self.call_at = False, 0.0
         self.base: float | None = None  # last total read; None: nothing read in this life
         self.base_own = self.base_at = 0.0  # what it held of ours, when
-        self.most = plan.burst  # left if the others use nothing
-        self.others = plan.rate / 1000 * (1 - 1 / width)  # estimate of the others' use, units per ms
+        self.most = plan.quota_burst  # left if the others use nothing
+        self.others = plan.quota_rate / 1000 * (1 - 1 / width)  # estimate of the others' use, units per ms
         # A restarted gateway has spent what it no longer knows: it earns its split anew.
-        self.left, self.left_at = min(plan.burst, plan.rate * age / 1000) / width, now
-        self.asking: list[tuple[api.Request, float, float]] = []  # wait for a total: request, aim, end
+        self.left, self.left_at = min(plan.quota_burst, plan.quota_rate * age / 1000) / width, now
+        self.asking: list[tuple[RequestReceived, float, float]] = []  # wait for a total: request, aim, end
         self.open = 0
         self.ceiling = self.ceiling_at = 0.0
         self.luck = 1.0  # part of our asking that found something left
@@ -245,18 +291,18 @@
 class Gateway:
     """The decisions of one gateway."""
 
-    def __init__(self, settings: api.Settings, seed: int) -> None:
+    def __init__(self, settings: Settings, seed: int) -> None:
         settings.check()
         self.s = settings
         self.rng = random.Random(seed)
         self.classes = {c.name: c for c in settings.classes}
         self.plans = {p.name: p for p in settings.plans}
-        self.out: list[api.Action] = []
+        self.out: list[Action] = []
         self.hosts: dict[str, _Host] = {}
         self.subset = _Subset(settings, self.rng)
         self.held: dict[str, _Held] = {}
         # Names stay: gateways of two versions must count together while a new one is rolled out.
-        lengths = [self._window_ms(p) if p.rate > 0 else 0.0 for p in settings.plans]
+        lengths = [self._window_ms(p) if p.quota_rate > 0 else 0.0 for p in settings.plans]
         self.tags = {
             p.name: f".{i}" if lengths.count(lengths[i]) > 1 else "" for i, p in enumerate(settings.plans)
         }
@@ -265,7 +311,9 @@
         self.asking: dict[str, _Use] = {}  # by the request that waits for a total
         self.askers: dict[_Use, None] = {}  # those with a request that waits, or has left while it waited
         self.admission = Admission(settings.classes)
-        self.latency = {c.name: c.aim_ms / 10 for c in settings.classes}  # usual latency per unit
+        self.latency = {
+            c.name: c.latency_objective_ms / 10 for c in settings.classes
+        }  # usual latency per unit
         self.answers = dict.fromkeys(self.classes, 0)  # that the usual latencies are learned from
         self.patience = {c.name: _Patience() for c in settings.classes}
         self.now = 0.0
@@ -285,59 +333,63 @@
         self.cuts = 0  # calls cut off since the last answer
         self.said: dict[str, float] = {}
 
-    def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
+    def handle(self, now_ms: float, event: Event) -> list[Action]:
         """The actions that answer one event at `now_ms`; times never run backwards."""
         self.now = max(self.now, now_ms)
         self.out = []
         if self.born is None:
             self.born, self.sweep_due = self.now, self.now + SWEEP_MS
-            self.out.append(api.Timer("sweep", SWEEP_MS))
-            if self.s.must_ask:
-                self.out.append(api.Subscribe())
+            self.out.append(StartTimer("sweep", SWEEP_MS))
+            if self.s.discovery_by_polling:
+                self.out.append(SubscribeToEndpoints())
         if self.now > self.sweep_due + STALL * SWEEP_MS:
             # Our own stall looks like a slow back end: what was out during it is no sample.
             self.stalled_at = self.now
         match event:
-            case api.Request():
+            case RequestReceived():
                 self._request(event)
-            case api.Outcome():
+            case AttemptEnded():
                 self._outcome(event)
-            case api.TimerDue(name="sweep"):
+            case TimerFired(name="sweep"):
                 self._sweep()
-            case api.TimerDue(name="subscribe"):
-                self.out.append(api.Subscribe())
-            case api.CountReply():
+            case TimerFired(name="subscribe"):
+                self.out.append(SubscribeToEndpoints())
+            case CounterReply():
                 self._count_reply(event)
-            case api.ServerList():
+            case EndpointUpdate():
                 self._server_list(event)
-            case api.StreamStarted():
+            case ResponseStarted():
                 self._stream_started(event)
-            case api.ClientLeft():
-                self.asking.pop(event.request, None)
-                self._finish(self.held.get(event.request))
-            case api.TimerDue() | api.ProbeReply() | api.PeerMessage():
+            case ClientDisconnected():
+                self.asking.pop(event.request_id, None)
+                self._finish(self.held.get(event.request_id))
+            case TimerFired() | HealthCheckEnded() | GossipReceived():
                 pass
             case _:
-                raise TypeError(f"not an event of api_gateway.interface: {event!r}")
+                raise TypeError(f"not an event of api_gateway.model.events: {event!r}")
         return self.out
 
-    def _server_list(self, event: api.ServerList) -> None:
-        if event.kind == "failed":
-            self.out.append(api.Timer("subscribe", BACKOFF_MS * (1 + self.rng.random())))
+    def _server_list(self, event: EndpointUpdate) -> None:
+        if event.kind is UpdateKind.FAILED:
+            self.out.append(StartTimer("subscribe", BACKOFF_MS * (1 + self.rng.random())))
             return
-        if event.kind != "changes":
-            named = {s.name for s in event.servers}
+        if event.kind is not UpdateKind.CHANGES:
+            named = {s.name for s in event.endpoints}
             for name in [n for n in self.hosts if n not in named]:
                 self.subset.drop(self.hosts.pop(name))
-        for server in event.servers:
+        for server in event.endpoints:
             host = self.hosts.get(server.name)
-            if server.status == "removed":
+            if server.status is EndpointStatus.REMOVED:
                 if host is not None:
                     self.subset.drop(self.hosts.pop(server.name))
             elif host is None:
                 host = self.hosts[server.name] = _Host(server)
                 self.subset.take(host)
-            elif (host.zone, host.cell, host.up) == (server.zone, server.cell, server.status == "up"):
+            elif (host.zone, host.failure_domain, host.up) == (
+                server.zone,
+                server.failure_domain,
+                server.status is EndpointStatus.UP,
+            ):
                 host.update(server)
                 self.subset.stale = True
             else:
@@ -345,35 +397,39 @@
                 host.update(server)
                 self.subset.take(host)
 
-    def _request(self, req: api.Request) -> None:
+    def _request(self, req: RequestReceived) -> None:
         cls, plan = self.classes.get(req.class_name), self.plans.get(req.plan_name)
-        if req.id in self.held or req.id in self.asking:
+        if req.request_id in self.held or req.request_id in self.asking:
             return
         if cls is None or plan is None or req.time_left_ms <= 0 or not self.hosts:
-            self._refuse(req.id)
+            self._refuse(req.request_id)
             return
         end_at = self.now + req.time_left_ms
-        aim_at = end_at if cls.late_worth > 0 else min(self.now + cls.aim_ms - self._spent(req, cls), end_at)
+        aim_at = (
+            end_at
+            if cls.late_priority_weight > 0
+            else min(self.now + cls.latency_objective_ms - self._spent(req, cls), end_at)
+        )
         if aim_at <= self.now:
-            self._refuse(req.id)  # its aim has passed: whatever we did would be waste
+            self._refuse(req.request_id)  # its aim has passed: whatever we did would be waste
             return
         use = self._use(req, plan)
         if use is None:
-            self._refuse(req.id)
+            self._refuse(req.request_id)
             return
         # A try with little time left would be held past its end; it is decided at once.
-        if aim_at - self.now > self.s.count_wait_ms + 2 * SWEEP_MS and self._unsure(use, req.units):
+        if aim_at - self.now > self.s.counter_timeout_ms + 2 * SWEEP_MS and self._unsure(use, req.units):
             if not self.admission.admit(cls, plan, self.latency[cls.name], req.units):
                 self._refuse_new(req, use, False)
                 return
-            self.asking[req.id] = use
+            self.asking[req.request_id] = use
             self.askers[use] = None
             use.asking.append((req, aim_at, end_at))
             self._sync(use, req.units)
         else:
             self._decide(req, cls, use, aim_at, end_at, False)
 
-    def _spent(self, req: api.Request, cls: api.RequestClass) -> float:
+    def _spent(self, req: RequestReceived, cls: RequestClass) -> float:
         """Time that the client spent on earlier tries: first ones share one time left, a shorter one was cut
         by the class's deadline. 0 unless a third of the last tries agree on the usual time."""
         if req.time_left_ms >= self.patience[cls.name].least_whole(req.time_left_ms):
@@ -381,13 +437,13 @@
         return max(cls.deadline_ms - req.time_left_ms, 0.0)
 
     def _decide(
-        self, req: api.Request, cls: api.RequestClass, use: _Use, aim_at: float, end_at: float, admitted: bool
+        self, req: RequestReceived, cls: RequestClass, use: _Use, aim_at: float, end_at: float, admitted: bool
     ) -> None:
         """Send on or refuse, at once."""
         plan = use.plan
         over = not self._quota_has(use, req.units)
         if over:
-            fits = plan.over_worth > plan.over_cost and self.admission.occupancy.q < ROOM * Q_MIN
+            fits = plan.over_quota_weight > plan.over_quota_cost and self.admission.occupancy.q < ROOM * Q_MIN
         else:
             fits = admitted or self.admission.admit(cls, plan, self.latency[cls.name], req.units)
         if not fits or not self._ceiling_has(use, req.units):
@@ -399,7 +455,7 @@
         if host is None:
             self._refuse_new(req, use, over)
             return
-        self.held[req.id] = held
+        self.held[req.request_id] = held
         self.bank = min(self.bank + RETRY_SHARE, RETRY_BANK)
         self.trials = min(self.trials + TRIAL_SHARE, TRIAL_BANK)
         use.ceiling -= req.units
@@ -409,15 +465,17 @@
         self._sync(use)
         self._send(held, host)
 
-    def _refuse_new(self, req: api.Request, use: _Use, over: bool) -> None:
-        self._refuse(req.id, 1000 * req.units / use.plan.rate if over and use.plan.rate else 0.0)
+    def _refuse_new(self, req: RequestReceived, use: _Use, over: bool) -> None:
+        self._refuse(
+            req.request_id, 1000 * req.units / use.plan.quota_rate if over and use.plan.quota_rate else 0.0
+        )
 
     def _refuse(self, rid: str, wait_ms: float = 0.0) -> None:
         """Refuse at once, and say when to come back: by the quota, or by the pressure on the back end."""
         wait_ms = max(wait_ms, SWEEP_MS / self.admission.fraction)
-        self.out.append(api.Refuse(rid, min(wait_ms, self.s.max_retry_after_ms)))
+        self.out.append(RejectRequest(rid, min(wait_ms, self.s.max_retry_after_ms)))
 
-    def _sample(self, held: _Held, attempt: _Attempt, event: api.Outcome) -> None:
+    def _sample(self, held: _Held, attempt: _Attempt, event: AttemptEnded) -> None:
         """One outcome's occupancy: the part of the aim that it used up, or that a new one would."""
         latency = self.admission.occupancy.classes[held.cls.name]
         share = self._share_of_aim(held, attempt, event)
@@ -425,20 +483,20 @@
         if self.admission.occupancy.pending >= OUTCOMES:
             self._update_f()
 
-    def _share_of_aim(self, held: _Held, attempt: _Attempt, event: api.Outcome) -> float | None:
+    def _share_of_aim(self, held: _Held, attempt: _Attempt, event: AttemptEnded) -> float | None:
         """The part of its aim that an outcome used up; None if it tells nothing of that."""
         if attempt.sent < self.stalled_at or event.result in NO_SAMPLE:
             return None
         if self._unwell(attempt.host):
             return None  # a few bad hosts would cut f for all; they are the business of health
         occupancy, name = self.admission.occupancy, held.cls.name
-        if event.result in (api.OK, api.ERROR):
-            share = min(event.took_ms / held.cls.aim_ms, 1.0)
+        if event.result in (AttemptResult.OK, AttemptResult.ERROR):
+            share = min(event.duration_ms / held.cls.latency_objective_ms, 1.0)
             # Foretold from two or three completions it is noise.
             trust = min(self.done_rate * (self.now - self.born) / (3 * FEW), 1.0)
             occupancy.note_answer(name, share, *self._foretold_ms(), trust)
             return share
-        if event.result == api.TIMED_OUT:
+        if event.result == AttemptResult.TIMED_OUT:
             late = occupancy.note_timeout(name)
             self.done += late and occupancy.classes[name].reaches_aim
             return 1.0 if late else None
@@ -458,11 +516,12 @@
         occupancy = self.admission.occupancy
         if not occupancy.update(self.admission.fraction) and not self.held:
             # With few requests near F_MIN, q would hold on long after a jam.
-            occupancy.q *= 1 - SWEEP_MS / max(c.aim_ms for c in self.s.classes)
+            occupancy.q *= 1 - SWEEP_MS / max(c.latency_objective_ms for c in self.s.classes)
         late = 0
         if occupancy.seen < FEW_SAMPLES:
             late = sum(
-                a.open and self.now - a.sent > OUT_TOO_LONG * h.cls.aim_ms  # outcomes come too late
+                a.open
+                and self.now - a.sent > OUT_TOO_LONG * h.cls.latency_objective_ms  # outcomes come too late
                 for h in self.held.values()
                 for a in h.attempts
             )
@@ -470,10 +529,10 @@
         if (part := self.admission.fraction) < 0.9:
             self._say("pressed", f"back end pressed: q {occupancy.q:.2f}, letting in {part:.0%}")
 
-    def _use(self, req: api.Request, plan: api.Plan) -> _Use | None:
+    def _use(self, req: RequestReceived, plan: Plan) -> _Use | None:
         """What is known of a customer under a plan; None where there is no room to know one more."""
-        width = max(1, min(req.width, self.s.fleet_size))
-        key = (req.customer, plan.name)
+        width = max(1, min(req.gateway_count, self.s.fleet_size))
+        key = (req.tenant, plan.name)
         use = self.uses.pop(key, None)
         if use is None:
             if len(self.uses) >= MOST_USES and not self._forget_one():
@@ -482,13 +541,13 @@
             use.ceiling_at = self.born or 0.0
         self.uses[key] = use
         use.seen = self.now
-        if plan.rate > 0:
+        if plan.quota_rate > 0:
             length = self._window_ms(plan)
             clock = self.now / length + use.phase
             if int(clock) != use.window:
                 self._roll(use, int(clock), self.now - clock % 1 * length)
         use.widest = max(use.widest, width)
-        use.width = max(use.width, width)
+        use.gateway_count = max(use.gateway_count, width)
         return use
 
     def _forget_one(self) -> bool:
@@ -504,8 +563,8 @@
         self.calls.pop(use.before, None)
 
     @staticmethod
-    def _window_ms(plan: api.Plan) -> float:
-        return min(max(WINDOWS * 1000.0 * plan.burst / plan.rate, 1.0), KEEP_MAX_MS / 2)
+    def _window_ms(plan: Plan) -> float:
+        return min(max(WINDOWS * 1000.0 * plan.quota_burst / plan.quota_rate, 1.0), KEEP_MAX_MS / 2)
 
     def _roll(self, use: _Use, window: int, start: float) -> None:
         """A new window: a new count. What we take to be left goes on."""
@@ -516,7 +575,7 @@
         # What is not told yet is told in the new window, unless refill has made up for it.
         use.own = use.own - use.added if self.heard >= 0.5 and window == use.window + 1 else 0.0
         use.window, use.name, use.before = window, f"{name}{window}", f"{name}{window - 1}"
-        use.width, use.widest, use.unread, use.start = use.widest, 1, True, start
+        use.gateway_count, use.widest, use.unread, use.start = use.widest, 1, True, start
         use.void = use.added = use.base_own = 0.0
         use.base_at, use.calling = start, False
         use.base = None if use.base is None else 0.0
@@ -524,8 +583,8 @@
     def _left(self, use: _Use) -> float:
         """What is left of the quota: carried + rate x time - our use - the others' as read or estimated."""
         span = max(self.now - use.left_at, 0.0)
-        burst, rate = use.plan.burst, use.plan.rate / 1000
-        part = min(1.0, (SPLIT if self.admission.fraction >= 1 else 1.0) / use.width)
+        burst, rate = use.plan.quota_burst, use.plan.quota_rate / 1000
+        part = min(1.0, (SPLIT if self.admission.fraction >= 1 else 1.0) / use.gateway_count)
         use.most = min(burst, use.most + rate * span)
         gain, most = (0.0, burst * part) if use.base is None else (rate - use.others, burst)
         if use.base is None or self.heard < 0.5:  # nothing is known, or no more: our split at least
@@ -536,7 +595,7 @@
 
     def _unsure(self, use: _Use, units: float) -> bool:
         """Nothing was read, or the estimate says no or maybe and the last total does not."""
-        if not self.s.may_count or use.plan.rate <= 0 or not self._may_call():
+        if not self.s.counter_enabled or use.plan.quota_rate <= 0 or not self._may_call():
             return False
         doubt = (max(use.others, 0.0) * (self.now - use.base_at)) ** 0.5  # the others' use may vary so much
         maybe = self._left(use) - doubt < units <= use.most
@@ -554,9 +613,11 @@
 
     def _quota_has(self, use: _Use, units: float) -> bool:
         plan = use.plan
-        if plan.parallel and use.open >= max(1, plan.parallel // use.width):
+        if plan.max_concurrent_requests and use.open >= max(
+            1, plan.max_concurrent_requests // use.gateway_count
+        ):
             return False
-        if plan.rate <= 0:
+        if plan.quota_rate <= 0:
             return True
         if use.base is None and use.own == 0:
             return True  # one request costs nearly nothing, and its count call tells us more
@@ -573,8 +634,8 @@
         plan = use.plan
         if plan.ceiling_rate <= 0:
             return True
-        full = plan.ceiling_burst / use.width
-        gained = (self.now - use.ceiling_at) * plan.ceiling_rate / 1000 / use.width
+        full = plan.ceiling_burst / use.gateway_count
+        gained = (self.now - use.ceiling_at) * plan.ceiling_rate / 1000 / use.gateway_count
         use.ceiling = min(full, use.ceiling + gained)
         use.ceiling_at = self.now
         return units <= use.ceiling + 1e-9
@@ -582,9 +643,9 @@
     def _sync(self, use: _Use, reserve: float = 0.0, at_once: bool = False) -> None:
         """Tell the counter, in batches that shrink as the customer nears its limit."""
         newer = use.own - use.added + reserve  # asked and told in one; a refusal is taken off again
-        if not self.s.may_count or use.plan.rate <= 0 or use.calling:
+        if not self.s.counter_enabled or use.plan.quota_rate <= 0 or use.calling:
             return
-        due = newer and not 0 < newer * use.width < self._left(use)
+        due = newer and not 0 < newer * use.gateway_count < self._left(use)
         if not (reserve or at_once or (due and self._may_call())):
             return
         newer += use.void
@@ -596,10 +657,10 @@
     def _call(self, use: _Use, name: str, amount: float) -> None:
         use.calling, use.call_at, self.call_at, use.in_call = True, self.now, self.now, amount
         self.calls[name] = use
-        self.out.append(api.Count(name, amount, min(2 * self._window_ms(use.plan), KEEP_MAX_MS)))
+        self.out.append(IncrementCounter(name, amount, min(2 * self._window_ms(use.plan), KEEP_MAX_MS)))
 
-    def _count_reply(self, reply: api.CountReply) -> None:
-        ok = reply.result == api.OK
+    def _count_reply(self, reply: CounterReply) -> None:
+        ok = reply.result == CounterResult.OK
         self._hear(reply.result)
         use = self.calls.get(reply.name)
         if use is None or not use.calling:
@@ -612,7 +673,11 @@
             self._read(use, reply.total)
             if first and self._ask_before(use):
                 return
-        elif reply.result not in (api.TIMED_OUT, api.CUT, api.SPOILT):
+        elif reply.result not in (
+            CounterResult.TIMED_OUT,
+            CounterResult.CONNECTION_LOST,
+            CounterResult.MALFORMED_RESPONSE,
+        ):
             use.added -= use.in_call  # a call that may have counted is not added twice
             use.own -= use.void_in_call
         self._settle(use)
@@ -622,8 +687,8 @@
     def _ask_before(self, use: _Use) -> bool:
         """As the first to count in this window, ask for the last one's total; whether that is worth a call.
         What has refilled a full store since the window's start is void."""
-        refilled = use.plan.rate * (self.now - use.start) / 1000
-        if 2 * refilled >= use.plan.burst or not self._may_call():
+        refilled = use.plan.quota_rate * (self.now - use.start) / 1000
+        if 2 * refilled >= use.plan.quota_burst or not self._may_call():
             use.void = refilled
             return False
         self._call(use, use.before, 0.0)
@@ -632,20 +697,20 @@
     def _owe(self, use: _Use, total: float) -> None:
         """Count what went beyond the last window's refill in this one, too: so any gateway reads from one
         total what is left of the store, whoever used it."""
-        rate = use.plan.rate / 1000
-        owed = min(max(total - rate * self._window_ms(use.plan), 0.0), use.plan.burst)
+        rate = use.plan.quota_rate / 1000
+        owed = min(max(total - rate * self._window_ms(use.plan), 0.0), use.plan.quota_burst)
         refilled = rate * (self.now - use.start)
         use.void = max(refilled - owed, 0.0)
         if owed:
             self._spend(use, owed)
             self._sync(use, at_once=True)
 
-    def _hear(self, result: str) -> None:
+    def _hear(self, result: CounterResult) -> None:
         """Note one call's end in the share of calls that are answered. A spoilt answer is one all the same,
         and only cuts with no answer between them mean a counter that is gone."""
-        answered = result in (api.OK, api.SPOILT)
-        self.cuts = 0 if answered else self.cuts + (result == api.CUT)
-        if result != api.CUT or self.cuts > CUTS:
+        answered = result in (CounterResult.OK, CounterResult.MALFORMED_RESPONSE)
+        self.cuts = 0 if answered else self.cuts + (result == CounterResult.CONNECTION_LOST)
+        if result != CounterResult.CONNECTION_LOST or self.cuts > CUTS:
             self.heard += HEED * (answered - self.heard)
         if self.heard < 0.5:
             self._say("counter", "counter silent or crowded: calling less, quotas go by our estimates")
@@ -656,9 +721,9 @@
         self.askers.pop(use, None)
         if waiting:  # all gateways would ask again and again for a customer who floods them
             found = use.left >= waiting[0][0].units
-            use.luck = max(use.luck + HEED * (found - use.luck), 1 / use.width)
+            use.luck = max(use.luck + HEED * (found - use.luck), 1 / use.gateway_count)
         for req, aim_at, end_at in waiting:
-            if self.asking.pop(req.id, None) is not None:
+            if self.asking.pop(req.request_id, None) is not None:
                 self._decide(req, self.classes[req.class_name], use, aim_at, end_at, True)
 
     def _read(self, use: _Use, total: float) -> None:
@@ -669,16 +734,16 @@
         if total >= use.added - 1e-6 and others >= -1e-6:
             full = use.most - others
             if use.unread:
-                full = use.plan.burst + use.plan.rate * (self.now - use.start) / 1000 - total
+                full = use.plan.quota_burst + use.plan.quota_rate * (self.now - use.start) / 1000 - total
                 full = min(full - (use.own - use.added), use.most)
             # What overshot took nothing from the store, so it must not be owed ever after.
             use.left = use.most = max(full, 0.0)
             if use.base is None:
                 # The first total holds what the others used since the window's start, not in a few ms.
                 rate = others / max(self.now - use.start, OTHERS_MS)
-                use.others = min(rate, use.plan.rate / 1000)
+                use.others = min(rate, use.plan.quota_rate / 1000)
             elif not use.unread:
-                memory = max(OTHERS_MS, 1000 * use.plan.burst / use.plan.rate)
+                memory = max(OTHERS_MS, 1000 * use.plan.quota_burst / use.plan.quota_rate)
                 keep = memory / (memory + span)
                 use.others = keep * use.others + (1 - keep) * others / span
             use.unread = False
@@ -687,9 +752,12 @@
     def _warmth(self, host: _Host) -> float:
         """The least part of its capacity that a host may have after its start."""
         age = self.now - host.cold_from_ms
-        if not host.cold_from_ms or age >= self.s.cold_ms or self.s.cold_ms <= 0:
+        if not host.cold_from_ms or age >= self.s.slow_start_ms or self.s.slow_start_ms <= 0:
             return 1.0
-        return self.s.cold_from + (1 - self.s.cold_from) * max(age, 0.0) / self.s.cold_ms
+        return (
+            self.s.slow_start_min_weight
+            + (1 - self.s.slow_start_min_weight) * max(age, 0.0) / self.s.slow_start_ms
+        )
 
     def _cold_room(self, host: _Host, warmth: float, work: float) -> bool:
         """Whether our part of a cold host's budget holds `work`; a part of it is drawn for.
@@ -699,7 +767,7 @@
         """
         if self.warm_rate <= 0 and self.now - self.born < RATE_MEMORY_MS:
             return host.open == 0 and self._our_turn(host, warmth)
-        margin = COLD_MARGIN * self.s.fall_multiple
+        margin = COLD_MARGIN * self.s.overload_multiple
         # With most hosts cold the warm ones are sent more than any can bear, until latency tells: what each
         # would have if all were warm bounds it, by what was let in, sent on or not.
         rate = margin * self.let_in_rate / max(len(self.subset), 1)
@@ -707,7 +775,7 @@
             rate = min(rate, min(margin, 1.0) * self.warm_rate)
         rate *= warmth
         span = self.now - max(host.credit_at, host.cold_from_ms)
-        host.credit = min(host.credit + rate * span, rate * self.s.tip_after_ms / 2)
+        host.credit = min(host.credit + rate * span, rate * self.s.overload_window_ms / 2)
         host.credit_at = self.now
         host.credit = self._draw(host.credit, work)
         return host.credit >= work
@@ -722,7 +790,7 @@
         length = 2.0 ** math.ceil(math.log2(max(max(self.latency.values()) / max(warmth, 0.01), 1.0)))
         turn = int(self.now / length) + digest(host.name)
         peers = max(round(self.s.fleet_size * len(self.subset) / max(len(self.subset.ring), 1)), 1)
-        if turn == host.turn or turn % peers != self.s.me % peers:
+        if turn == host.turn or turn % peers != self.s.gateway_index % peers:
             return False
         host.turn = turn
         return True
@@ -766,7 +834,7 @@
 
     def _trial(self, held: _Held, tried: list[_Host]) -> _Host | None:
         """A failing host whose rest is over: one safe request tries it, as far as the trials' budget goes."""
-        if held.cls.effect != "safe" or held.attempts or self.trials < 1:
+        if held.cls.idempotency is not Idempotency.IDEMPOTENT or held.attempts or self.trials < 1:
             return None
         for host in self.subset.failing:
             rested = not host.open and self.now >= host.down_until and host not in tried
@@ -782,14 +850,14 @@
         preferred: where traffic leans to one for good, its hosts alone would bear it.
         """
         best, best_score = None, 0.0
-        kept_ms = KEPT_SHARE * self.s.conn_idle_ms
+        kept_ms = KEPT_SHARE * self.s.idle_connection_timeout_ms
         round_ms = self.subset.round_ms
         for host in hosts:
             if host.fails or not self._may_send(held, host):
                 continue
             # In turn: so the connections to all of a subset are kept, by all alike, and one that was slow by
             # chance is not left for good.
-            score = (host.open + 1) * host.slow**0.5 / host.nominal
+            score = (host.open + 1) * host.slow**0.5 / host.weight
             score *= 1.3 + 0.1 * self.rng.random() - 0.1 * min((self.now - host.sent_at) / round_ms, 3.0)
             if self.thin and self.now - host.idle_at > kept_ms:
                 score *= DIAL  # each new one costs a handshake, and fills a table that all share
@@ -803,35 +871,35 @@
         """Worse than its fellows. When all are slow or failing none is: then it is f that must act."""
         return host.slow > BAD * self.mid or (host.fails > 0 and not self.many_fail)
 
-    def _judge(self, held: _Held, host: _Host, event: api.Outcome) -> None:
+    def _judge(self, held: _Held, host: _Host, event: AttemptEnded) -> None:
         """What an outcome says of its host."""
         usual = self._usual(held)
-        if event.result == api.OK:
+        if event.result == AttemptResult.OK:
             if host.died:
                 # A host back from the dead is cold long before the list says so.
                 host.cold_from_ms, host.died = max(host.cold_from_ms, self.now), False
                 self.subset.stale = True
             self.subset.stale |= host.fails > 0
             host.strikes = host.fails = 0
-            host.slow += GAIN * (min(event.took_ms / usual, 20.0) - host.slow)
+            host.slow += GAIN * (min(event.duration_ms / usual, 20.0) - host.slow)
             host.idle_at = self.now
-            units = max(event.true_units or held.req.units, 1e-6)
+            units = max(event.actual_units or held.req.units, 1e-6)
             self.answers[held.cls.name] += 1
             weight = max(GAIN / 4, 1 / (self.answers[held.cls.name] + 1))  # the start weighs as one answer
-            self.latency[held.cls.name] += weight * (event.took_ms / units - self.latency[held.cls.name])
+            self.latency[held.cls.name] += weight * (event.duration_ms / units - self.latency[held.cls.name])
             self.done += 1
-        elif event.result == api.CONNECT_FAILED:
+        elif event.result == AttemptResult.CONNECT_FAILED:
             # A reset, unlike this, is one connection's end: a dead host refuses the next dial.
             host.died = True
             self._down(host)
-        elif event.result in (api.RESET, api.UNSENT):
+        elif event.result in (AttemptResult.CONNECTION_RESET, AttemptResult.NOT_SENT):
             host.strikes += 1
             if host.fails or host.strikes >= STRIKES:
                 self._down(host)
-        elif event.result in (api.ERROR, api.TIMED_OUT, api.FULL):
-            host.slow += GAIN * (min(max(held.cls.aim_ms / usual, 2.0), 20.0) - host.slow)
-            late = event.result == api.TIMED_OUT and self._unwell(host)
-            host.strikes += late or event.result == api.ERROR
+        elif event.result in (AttemptResult.ERROR, AttemptResult.TIMED_OUT, AttemptResult.OVERLOADED):
+            host.slow += GAIN * (min(max(held.cls.latency_objective_ms / usual, 2.0), 20.0) - host.slow)
+            late = event.result == AttemptResult.TIMED_OUT and self._unwell(host)
+            host.strikes += late or event.result == AttemptResult.ERROR
             if host.fails or host.strikes >= STRIKES:
                 self._down(host)
 
@@ -845,40 +913,42 @@
 
     def _may_send(self, held: _Held, host: _Host) -> bool:
         """The rules on drains and repeats, for every send."""
-        if not host.up or len(held.attempts) >= self.s.try_limit or held.answered or held.stream:
+        if not host.up or len(held.attempts) >= self.s.max_attempts or held.answered or held.stream:
             return False
-        if not self.s.second_copies and any(a.open for a in held.attempts):
+        if not self.s.hedging_allowed and any(a.open for a in held.attempts):
             return False
         risky = [a for a in held.attempts if a.ran]
-        if not risky or held.cls.effect == "safe":
+        if not risky or held.cls.idempotency is Idempotency.IDEMPOTENT:
             return True
-        if held.cls.effect == "unsafe" or self._window_left(held) < 0:
+        if held.cls.idempotency is Idempotency.NOT_IDEMPOTENT or self._window_left(held) < 0:
             return False
-        scope = held.cls.key_scope
-        return scope == "all" or all(
-            a.host.zone == host.zone and (scope == "zone" or a.host.cell == host.cell) for a in risky
+        scope = held.cls.idempotency_key_scope
+        return scope is KeyScope.ALL or all(
+            a.host.zone == host.zone
+            and (scope is KeyScope.ZONE or a.host.failure_domain == host.failure_domain)
+            for a in risky
         )
 
     def _window_left(self, held: _Held) -> float:
         """How long a repeat may still be written: the window runs from the decision on the first attempt that
         may have run."""
         first = next((a.sent for a in held.attempts if a.ran), None)
-        if first is None or held.cls.effect != "keyed":
+        if first is None or held.cls.idempotency is not Idempotency.WITH_KEY:
             return math.inf
-        return first + held.cls.window_ms - 2 * self.s.tick_ms - self.now
+        return first + held.cls.idempotency_window_ms - 2 * self.s.clock_tick_ms - self.now
 
     def _send(self, held: _Held, host: _Host) -> None:
         """One attempt, given up when it can no longer be in time, or when it is better asked for again.
 
         While answers get lost beside fast ones, what may be repeated ends early.
         """
-        timeout = max(held.aim_at - self.now - self.s.tick_ms, min(1.0, held.end_at - self.now))
+        timeout = max(held.aim_at - self.now - self.s.clock_tick_ms, min(1.0, held.end_at - self.now))
         early = max(timeout / 2, PATIENCE * self._usual(held))
         if (
             self.admission.occupancy.lost > LOST
-            and held.cls.effect != "unsafe"
+            and held.cls.idempotency is not Idempotency.NOT_IDEMPOTENT
             and self.bank >= 1
-            and len(held.attempts) + 1 < self.s.try_limit
+            and len(held.attempts) + 1 < self.s.max_attempts
             and early + self._usual(held) < timeout
         ):
             timeout = early
@@ -893,15 +963,15 @@
             host.credit -= held.work
         else:
             self.warm_work += held.work
-        self.out.append(api.Send(held.req.id, host.name, timeout, write_by))
+        self.out.append(StartAttempt(held.req.request_id, host.name, timeout, write_by))
 
     def _answer(self, held: _Held) -> None:
         """The final answer of a request that will not be served."""
         may_have_run = any(a.ran for a in held.attempts)  # then a refusal would promise too much
         if may_have_run:
-            self.out.append(api.Fail(held.req.id))
+            self.out.append(FailRequest(held.req.request_id))
         else:
-            self._refuse(held.req.id)
+            self._refuse(held.req.request_id)
         self._finish(held)
 
     def _finish(self, held: _Held | None) -> None:
@@ -909,19 +979,19 @@
         if held is None:
             return
         still = [i for i, a in enumerate(held.attempts) if a.open]
-        if self.s.cancel and not held.stream and not held.answered:
-            self.out.extend(api.Cancel(held.req.id, i) for i in still)
+        if self.s.cancellation_supported and not held.stream and not held.answered:
+            self.out.extend(CancelAttempt(held.req.request_id, i) for i in still)
         held.answered = True
-        if not still and self.held.pop(held.req.id, None) is not None:
+        if not still and self.held.pop(held.req.request_id, None) is not None:
             held.use.open -= 1
 
-    def _stream_started(self, event: api.StreamStarted) -> None:
-        held = self.held.get(event.request)
+    def _stream_started(self, event: ResponseStarted) -> None:
+        held = self.held.get(event.request_id)
         if held is not None:
             held.stream = True
 
-    def _outcome(self, event: api.Outcome) -> None:
-        held = self.held.get(event.request)
+    def _outcome(self, event: AttemptEnded) -> None:
+        held = self.held.get(event.request_id)
         if held is None or not 0 <= event.attempt < len(held.attempts):
             return
         attempt = held.attempts[event.attempt]
@@ -930,29 +1000,29 @@
         attempt.open = False
         attempt.host.open -= 1
         self.out_now -= 1
-        attempt.ran = event.result not in api.NEVER_RAN
+        attempt.ran = not event.result.never_ran
         self._sample(held, attempt, event)
-        if event.result != api.MOOT:
+        if event.result != AttemptResult.NOT_STARTED:
             self._judge(held, attempt.host, event)
-        if event.result == api.OK and event.true_units > 0 and held.use.plan.rate > 0:
-            self._spend(held.use, event.true_units - held.req.units)
+        if event.result == AttemptResult.OK and event.actual_units > 0 and held.use.plan.quota_rate > 0:
+            self._spend(held.use, event.actual_units - held.req.units)
             self._sync(held.use)
-        if event.final or event.result == api.OK or held.answered:
+        if event.is_final or event.result == AttemptResult.OK or held.answered:
             self._finish(held)
         elif not any(a.open for a in held.attempts):
             # Another host does not mend a bound of our own; asking it again at once is a loop.
-            if event.result == api.NO_ROOM or not self._again(held, event):
+            if event.result == AttemptResult.LOCAL_LIMIT or not self._again(held, event):
                 self._answer(held)
 
     def _usual(self, held: _Held) -> float:
         return self.latency[held.cls.name] * max(held.req.units, 1e-6)
 
-    def _again(self, held: _Held, event: api.Outcome) -> bool:
+    def _again(self, held: _Held, event: AttemptEnded) -> bool:
         """A further attempt if it can be in time and is paid for, by what the last one cost the hosts."""
         price = 1.0
         if event.result in BROKEN:
-            price = min(event.took_ms / max(self._usual(held), 1e-6), 1.0)
-        if self.bank < price or held.aim_at - self.now <= max(self._usual(held), 2 * self.s.tick_ms):
+            price = min(event.duration_ms / max(self._usual(held), 1e-6), 1.0)
+        if self.bank < price or held.aim_at - self.now <= max(self._usual(held), 2 * self.s.clock_tick_ms):
             return False
         host = self._pick(held)
         if host is not None:
@@ -980,14 +1050,14 @@
         self._update_f()
         self._size_subset(span)
         for use in list(self.askers):
-            if self.now - use.call_at > self.s.count_wait_ms + SWEEP_MS:  # a reply that never comes
+            if self.now - use.call_at > self.s.counter_timeout_ms + SWEEP_MS:  # a reply that never comes
                 use.calling = False
                 self._settle(use)
         for use in list(islice(self.uses.values(), LOOKS)):
             if self._stale(use):
                 self._forget(use)
         self.sweep_due = self.now + SWEEP_MS
-        self.out.append(api.Timer("sweep", SWEEP_MS))
+        self.out.append(StartTimer("sweep", SWEEP_MS))
 
     def _size_subset(self, span: float) -> None:
         """As many hosts as our traffic visits often, more while they are pressed or failing."""
@@ -1002,11 +1072,11 @@
         cover = min(COVER * len(self.subset.ring) / self.s.fleet_size, self.send_rate * SPARSE_MS)
         self.subset.resize(max(SUBSET_MIN, self.send_rate * PAIR_MS, cover) * self.grow)
         self.subset.round_ms = min(len(self.subset.warm) / max(self.send_rate, 1e-9), 10 * PAIR_MS) or PAIR_MS
-        visits = self.send_rate * KEPT_SHARE * self.s.conn_idle_ms
+        visits = self.send_rate * KEPT_SHARE * self.s.idle_connection_timeout_ms
         self.thin = visits < REUSE * len(self.subset.warm)
 
     def _stale(self, use: _Use) -> bool:
-        memory = self._window_ms(use.plan) if use.plan.rate > 0 else RATE_MEMORY_MS
+        memory = self._window_ms(use.plan) if use.plan.quota_rate > 0 else RATE_MEMORY_MS
         return self.now - use.seen >= FORGET_WINDOWS * memory and self._may_forget(use)
 
     def _may_forget(self, use: _Use) -> bool:
@@ -1018,4 +1088,4 @@
     def _say(self, cause: str, text: str) -> None:
         if self.now - self.said.get(cause, -1e9) >= 5000:
             self.said[cause] = self.now
-            self.out.append(api.Log(text))
+            self.out.append(WriteLog(text))
--- a/api_gateway/decisions/occupancy.py
+++ b/api_gateway/decisions/occupancy.py
@@ -11,7 +11,7 @@
 import math
 from collections.abc import Iterable
 
-from api_gateway import interface as api
+from api_gateway.model.settings import RequestClass
 
 OUTCOMES_KEPT = 20.0  # outcomes in the memory of q, and requests in a block of one class
 FEW = 5.0  # outcomes below which an estimate weighs less
@@ -46,8 +46,8 @@
 class ClassLatency:
     """The part of its aim that one class takes: lately, and while its hosts are not pressed."""
 
-    def __init__(self, aim_ms: float) -> None:
-        self.aim_ms = aim_ms
+    def __init__(self, latency_objective_ms: float) -> None:
+        self.latency_objective_ms = latency_objective_ms
         self.count = 0
         self.mean = 0.0  # of the shares of the last OUTCOMES_KEPT answers or so
         self.variance = 0.0  # of the last SPREAD_KEPT
@@ -127,8 +127,8 @@
 class Occupancy:
     """The smoothed occupancy q of the back end, from this gateway's own outcomes."""
 
-    def __init__(self, classes: Iterable[api.RequestClass]) -> None:
-        self.classes = {c.name: ClassLatency(c.aim_ms) for c in classes}
+    def __init__(self, classes: Iterable[RequestClass]) -> None:
+        self.classes = {c.name: ClassLatency(c.latency_objective_ms) for c in classes}
         self.q = 0.0
         self.noise = 0.0  # variance of q that comes of single answers differing
         self.seen = 0  # samples that q holds
@@ -143,7 +143,7 @@
         """An answer of class `name` took `share` of its aim. The requests out foretell a wait of `wait_ms`
         beyond the unpressed latency, give or take `chance_ms`, which weighs by `trust` (0 to 1)."""
         latency = self.classes[name]
-        self.unpressed_ms += (latency.base * latency.aim_ms - self.unpressed_ms) / OUTCOMES_KEPT
+        self.unpressed_ms += (latency.base * latency.latency_objective_ms - self.unpressed_ms) / OUTCOMES_KEPT
         self.nearness += (latency.nearness - self.nearness) / OUTCOMES_KEPT
         sample = latency.occupancy(share)
         weight = 0.0  # departures lag at a start, and what may be chance foretells nothing
@@ -152,7 +152,7 @@
         variance = latency.spread**2
         self.good += (sample - self.good) / FEW
         self.lost -= self.lost / (4 * FEW)
-        foretold = latency.occupancy(min(latency.base + wait_ms / latency.aim_ms, 1.0))
+        foretold = latency.occupancy(min(latency.base + wait_ms / latency.latency_objective_ms, 1.0))
         self._add(sample + weight * (foretold - sample), (1 - weight) ** 2 * variance)
 
     def note_timeout(self, name: str) -> bool:
--- /dev/null
+++ b/api_gateway/model/results.py
@@ -0,0 +1,55 @@
+"""How attempts and counter calls end."""
+
+from __future__ import annotations
+
+from enum import Enum
+
+_NEVER_RAN = frozenset(
+    ("OVERLOADED", "CONNECT_FAILED", "NOT_STARTED", "NOT_SENT", "LOCAL_LIMIT", "WITHDRAWN")
+)
+
+
+class AttemptResult(Enum):
+    """How one attempt ended; `never_ran` tells whether that proves that the request never ran."""
+
+    OK = "ok"
+    ERROR = "error"
+    OVERLOADED = "overloaded"  # rejected by the endpoint, with the promise that it did not run
+    TIMED_OUT = "timed_out"
+    CONNECT_FAILED = "connect_failed"
+    CONNECTION_RESET = "connection_reset"
+    CANCELLED = "cancelled"
+    NOT_STARTED = "not_started"  # nobody waited for it any more, or its time was over
+    MALFORMED_RESPONSE = "malformed_response"  # says little of the endpoint; it may have run
+    STALE_CONNECTION = "stale_connection"  # a kept connection broke under its next request; it may have run
+    NOT_SENT = "not_sent"  # the connection broke before the last byte was written
+    LOCAL_LIMIT = "local_limit"  # a limit of the gateway's own; says nothing of the endpoint
+    WITHDRAWN = "withdrawn"  # what it was decided on no longer held when it came to the write
+
+    def __init__(self, _: str) -> None:
+        """Note what the result proves."""
+        self.never_ran = self.name in _NEVER_RAN
+
+    __hash__ = object.__hash__  # members are single objects; the default hashes the name each time
+
+
+class CounterResult(Enum):
+    """How one call of the counter ended."""
+
+    OK = "ok"
+    OVERLOADED = "overloaded"  # rejected: nothing was added
+    FAILED = "failed"  # nothing was added
+    CONNECT_FAILED = "connect_failed"  # nothing was added
+    TIMED_OUT = "timed_out"  # it may have been added
+    MALFORMED_RESPONSE = "malformed_response"  # answered, so added, but with no total that can be read
+    CONNECTION_LOST = "connection_lost"  # it may have been added, and the counter may be well
+
+    @property
+    def maybe_added(self) -> bool:
+        """Whether the amount may have been added, so that it must not be added again."""
+        return self in (
+            CounterResult.OK,
+            CounterResult.TIMED_OUT,
+            CounterResult.MALFORMED_RESPONSE,
+            CounterResult.CONNECTION_LOST,
+        )
--- a/api_gateway/network/counter.py
+++ b/api_gateway/network/counter.py
@@ -7,8 +7,10 @@
 from collections import deque
 from collections.abc import Callable
 
-from api_gateway import interface as api
-from api_gateway.network.response_parser import Reply, ReplyProtocol, number
+from api_gateway.model.actions import IncrementCounter
+from api_gateway.model.events import CounterReply
+from api_gateway.model.results import CounterResult
+from api_gateway.network.response_parser import Response, ResponseProtocol, number
 
 log = logging.getLogger(__name__)
 
@@ -23,14 +25,14 @@
 class _Call:
     __slots__ = ("act", "sent_at", "timer", "slot", "written", "done")
 
-    def __init__(self, act: api.Count, now: float) -> None:
+    def __init__(self, act: IncrementCounter, now: float) -> None:
         self.act, self.sent_at = act, now
         self.timer: asyncio.TimerHandle | None = None
         self.slot: _Slot | None = None
         self.written = self.done = False
 
 
-class Counter:
+class CounterClient:
     """Every call gets exactly one `CountReply`."""
 
     def __init__(
@@ -38,7 +40,7 @@
         loop: asyncio.AbstractEventLoop,
         address: tuple[str, int],
         wait_ms: float,
-        replied: Callable[[api.CountReply], None],
+        replied: Callable[[CounterReply], None],
     ) -> None:
         self._loop, self._wait_s, self._replied = loop, wait_ms / 1000, replied
         self._slots = self._open(address)
@@ -64,7 +66,7 @@
             for call in slot.retire():
                 self._place(call)
 
-    def call(self, act: api.Count) -> None:
+    def call(self, act: IncrementCounter) -> None:
         """Write one call on the connection with the fewest calls out."""
         call = _Call(act, self._loop.time())
         call.timer = self._loop.call_later(self._wait_s, self._overdue, call)
@@ -75,9 +77,9 @@
         if up:
             min(up, key=_Slot.load).write(call)
         else:
-            self.end(call, api.CONNECT_FAILED)
+            self.end(call, CounterResult.CONNECT_FAILED)
 
-    def end(self, call: _Call, result: str, total: float = 0.0) -> None:
+    def end(self, call: _Call, result: CounterResult, total: float = 0.0) -> None:
         """Report what a call came to, once."""
         if call.done:
             return
@@ -85,7 +87,7 @@
         if call.timer is not None:
             call.timer.cancel()
         took = (self._loop.time() - call.sent_at) * 1000
-        self._replied(api.CountReply(call.act.name, result, total, took))
+        self._replied(CounterReply(call.act.name, result, total, took))
 
     def _overdue(self, call: _Call) -> None:
         # Guards against our own stall: the answer may be here and unread.
@@ -96,7 +98,7 @@
             call.slot.give_up()
             return
         # The call stays in its connection's line, so that its late answer is not taken for the next one's.
-        self.end(call, api.TIMED_OUT if call.written else api.CONNECT_FAILED)
+        self.end(call, CounterResult.TIMED_OUT if call.written else CounterResult.CONNECT_FAILED)
 
     def _alone_silent(self, call: _Call) -> bool:
         """Whether the call's connection has gone silent and the counter has not.
@@ -117,7 +119,9 @@
 class _Slot:
     """One kept connection: calls out on it in order, and its redialling."""
 
-    def __init__(self, counter: Counter, loop: asyncio.AbstractEventLoop, address: tuple[str, int]) -> None:
+    def __init__(
+        self, counter: CounterClient, loop: asyncio.AbstractEventLoop, address: tuple[str, int]
+    ) -> None:
         self._counter, self._loop, self._address = counter, loop, address
         self._connection: _Connection | None = None
         self._dial: asyncio.Task | None = None
@@ -176,7 +180,7 @@
     def give_up(self) -> None:
         """Close a connection that has gone silent."""
         self._connection.drop()
-        self._end_all(api.CUT)
+        self._end_all(CounterResult.CONNECTION_LOST)
 
     def write(self, call: _Call) -> None:
         self._calls.append(call)
@@ -221,7 +225,7 @@
     def _send(self, call: _Call) -> None:
         act = call.act
         self._connection.write(
-            f"POST /v1/count/{act.name}?add={_decimal(act.amount)}&ttl_ms={max(1, round(act.keep_ms))}"
+            f"POST /v1/count/{act.name}?add={_decimal(act.amount)}&ttl_ms={max(1, round(act.ttl_ms))}"
             " HTTP/1.1\r\nHost: counter\r\nContent-Length: 0\r\n\r\n".encode()
         )
         call.written = not self._connection.unsent
@@ -244,7 +248,7 @@
         else:
             self._connection.drop()
 
-    def replied(self, reply: Reply, reusable: bool) -> None:
+    def replied(self, reply: Response, reusable: bool) -> None:
         """The answer to the oldest call on this connection."""
         self._failures, self._heard_at = 0, self._loop.time()
         total = number(reply.body.strip()) if reply.status == 200 else None
@@ -256,19 +260,19 @@
         if not reusable or (self._retired and not self._calls):
             self._connection.drop()  # before the module hears of it: its next call goes to another one
         if total is None:
-            self._counter.end(call, api.FULL)
+            self._counter.end(call, CounterResult.OVERLOADED)
         elif self._retired:
             # Guards the totals: what another counter knows, the one that we call now may not, and its totals
             # are measured against this one. Added it is, as far as that goes.
-            self._counter.end(call, api.SPOILT)
+            self._counter.end(call, CounterResult.MALFORMED_RESPONSE)
         else:
-            self._counter.end(call, api.OK, total)
+            self._counter.end(call, CounterResult.OK, total)
 
     def spoilt(self) -> None:
         """Noise where answers should be: no call behind it will be told its total either."""
         log.warning("counter: an answer that cannot be read, its connection is given up")
         self._connection.drop()
-        self._end_all(api.SPOILT)
+        self._end_all(CounterResult.MALFORMED_RESPONSE)
 
     def lost(self) -> None:
         """The connection is gone."""
@@ -284,17 +288,17 @@
             self._rests_until = self._loop.time() + rest
         if not self._retired:
             self._redial_timer = self._loop.call_later(rest, self._redial)
-        self._end_all(api.CUT)
+        self._end_all(CounterResult.CONNECTION_LOST)
 
     def _redial(self) -> None:
         # Guards against calls that pile up on the few connections left, all to be lost with the next one.
         if self._connection is None and self._dial is None and not self._retired:
             self.dial()
 
-    def _end_all(self, written: str) -> None:
+    def _end_all(self, written: CounterResult) -> None:
         calls, self._calls = self._calls, deque()
         for call in calls:
-            self._counter.end(call, written if call.written else api.CONNECT_FAILED)
+            self._counter.end(call, written if call.written else CounterResult.CONNECT_FAILED)
 
 
 def _decimal(amount: float) -> str:
@@ -302,7 +306,7 @@
     return f"{amount:.6f}".rstrip("0").rstrip(".")
 
 
-class _Connection(ReplyProtocol):
+class _Connection(ResponseProtocol):
     def __init__(self, slot: _Slot) -> None:
         super().__init__()
         self._slot = slot
@@ -315,7 +319,7 @@
         super().resume_writing()
         self._slot.flushed()
 
-    def replied(self, reply: Reply, reusable: bool) -> None:
+    def replied(self, reply: Response, reusable: bool) -> None:
         self._slot.replied(reply, reusable)
 
     def spoilt(self) -> None:
--- a/api_gateway/network/discovery.py
+++ b/api_gateway/network/discovery.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from api_gateway import interface as api
-from api_gateway.network.response_parser import LONGEST_LIST, Reply, ReplyProtocol
+from api_gateway.model.endpoints import Endpoint, EndpointStatus
+from api_gateway.network.response_parser import LONGEST_LIST, Response, ResponseProtocol
 
 log = logging.getLogger(__name__)
 
@@ -30,20 +30,24 @@
 GRACE_S = 0.002  # a turn of the loop or two, in which what has arrived is read before it counts as missing
 BACKOFF_S = 0.05
 REST_S = 0.1  # a rest that a round always has room for; a call to the agent is free: the longest after one
-STATES = {"ready": "up", "draining": "draining", "gone": "removed"}
+STATES = {
+    "ready": EndpointStatus.UP,
+    "draining": EndpointStatus.DRAINING,
+    "gone": EndpointStatus.REMOVED,
+}
 
 
 @dataclass(slots=True, frozen=True)
-class Listing:
+class EndpointList:
     """One answer of discovery: hosts by instance id, and where to dial them."""
 
     generation: int
     whole: bool
-    servers: tuple[api.Server, ...]
+    endpoints: tuple[Endpoint, ...]
     addresses: dict[str, tuple[str, int]]
 
 
-def parse_listing(raw: object) -> Listing:
+def parse_endpoint_list(raw: object) -> EndpointList:
     """Discovery's JSON as a `Listing`; ValueError where it is not one."""
     if not isinstance(raw, dict) or not isinstance(raw.get("instances"), list):
         raise ValueError("is no list of instances")
@@ -56,21 +60,23 @@
         servers.append(server)
         if address is not None:
             addresses[server.name] = address
-    return Listing(generation, bool(raw.get("reset")), tuple(servers), addresses)
+    return EndpointList(generation, bool(raw.get("reset")), tuple(servers), addresses)
 
 
-def _instance(entry: object) -> tuple[api.Server, tuple[str, int] | None]:
+def _instance(entry: object) -> tuple[Endpoint, tuple[str, int] | None]:
     if not isinstance(entry, dict) or not isinstance(entry.get("instanceId"), str) or not entry["instanceId"]:
         raise ValueError("an instance without instanceId")
     name = entry["instanceId"]
     # Guards against a state that a later discovery may add: what is not known to be ready gets no new work.
-    status = STATES.get(entry.get("lifecycle"), "draining")
+    status = STATES.get(entry.get("lifecycle"), EndpointStatus.DRAINING)
     host, _, port = str(entry.get("hostPort", "")).rpartition(":")
-    if status != "removed" and not (host and port.isascii() and port.isdigit() and int(port) < 65536):
+    if status is not EndpointStatus.REMOVED and not (
+        host and port.isascii() and port.isdigit() and int(port) < 65536
+    ):
         raise ValueError(f"{name}: hostPort {entry.get('hostPort')!r} is not HOST:PORT")
     try:
         # The module's clock is Unix time in milliseconds, so startedAtMs needs no more than reading.
-        server = api.Server(
+        server = Endpoint(
             name,
             str(entry.get("zone", "")),
             int(entry.get("cell", 0)),
@@ -80,10 +86,10 @@
         )
     except (TypeError, ValueError):
         raise ValueError(f"{name}: cell, weight or startedAtMs is not a number") from None
-    return server, ((host.strip("[]"), int(port)) if status != "removed" else None)
+    return server, ((host.strip("[]"), int(port)) if status is not EndpointStatus.REMOVED else None)
 
 
-class Discovery:
+class DiscoveryWatch:
     """Keeps one watch going and hands on each answer.
 
     A gateway that has a list asks for what has changed since: discovery pays for each line that it sends, and
@@ -103,7 +109,7 @@
         self,
         loop: asyncio.AbstractEventLoop,
         address: tuple[str, int],
-        told: Callable[[Listing], None],
+        told: Callable[[EndpointList], None],
         rng: random.Random,
         known: int | None = None,
         spread_s: float = 0.0,
@@ -226,7 +232,7 @@
         before, self._taken = self._taken, self._connection.taken()
         return self._taken > before and self._loop.time() < self._began + WHOLE_S
 
-    def replied(self, connection: _Watch, reply: Reply, reusable: bool) -> None:
+    def replied(self, connection: _Watch, reply: Response, reusable: bool) -> None:
         """An answer: hand it on and ask for what comes next at once."""
         if connection is not self._connection:
             return
@@ -238,7 +244,7 @@
             connection.drop()
             return
         try:
-            listing = parse_listing(json.loads(reply.body))
+            listing = parse_endpoint_list(json.loads(reply.body))
             if not listing.whole and (self._generation is None or listing.generation < self._generation):
                 raise ValueError("changes to a list that was never sent")
         except ValueError as error:
@@ -275,15 +281,15 @@
         self._timer = self._loop.call_later(wait * self._rng.random(), self._ask)
 
 
-class _Watch(ReplyProtocol):
+class _Watch(ResponseProtocol):
     """The connection to the agent."""
 
-    def __init__(self, owner: Discovery) -> None:
+    def __init__(self, owner: DiscoveryWatch) -> None:
         super().__init__(LONGEST_LIST)
         self._owner = owner
         self.closed = False
 
-    def replied(self, reply: Reply, reusable: bool) -> None:
+    def replied(self, reply: Response, reusable: bool) -> None:
         self._owner.replied(self, reply, reusable)
 
     def spoilt(self) -> None:
--- a/api_gateway/network/dispatcher.py
+++ b/api_gateway/network/dispatcher.py
@@ -10,13 +10,34 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from api_gateway import interface as api
-from api_gateway.configuration import Config, upstream_sockets
+from api_gateway.configuration import Configuration, upstream_sockets
 from api_gateway.decisions.gateway import Gateway
-from api_gateway.network.counter import Counter
-from api_gateway.network.discovery import ROUND_S, Discovery, Listing
-from api_gateway.network.response_parser import Reply
-from api_gateway.network.upstream.pool import Attempt, Hosts
+from api_gateway.model.actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    IncrementCounter,
+    RejectRequest,
+    StartAttempt,
+    StartTimer,
+    SubscribeToEndpoints,
+    WriteLog,
+)
+from api_gateway.model.endpoints import EndpointStatus, UpdateKind
+from api_gateway.model.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    CounterReply,
+    EndpointUpdate,
+    Event,
+    RequestReceived,
+    TimerFired,
+)
+from api_gateway.model.results import AttemptResult, CounterResult
+from api_gateway.network.counter import CounterClient
+from api_gateway.network.discovery import ROUND_S, DiscoveryWatch, EndpointList
+from api_gateway.network.response_parser import Response
+from api_gateway.network.upstream.pool import Attempt, ConnectionPool
 
 log = logging.getLogger(__name__)
 
@@ -41,13 +62,13 @@
         return (self._offset + time.monotonic()) * 1000
 
 
-def list_spread_s(config: Config) -> float:
+def list_spread_s(config: Configuration) -> float:
     """Over what time the fleet's first calls to discovery are spread, where it must be asked.
 
     It serves calls in turn, and works on those that nobody waits for any more: what a fleet asks at once
     keeps it busy with the dead. Who asks too late counts as told all the same, so within a round.
     """
-    if not config.settings.must_ask:
+    if not config.settings.discovery_by_polling:
         return 0.0
     return min(LIST_CALL_S * config.settings.fleet_size, ASK_SHARE * config.ask_within_ms / 1000, ROUND_S)
 
@@ -55,28 +76,28 @@
 class Client(Protocol):
     """Who is owed an answer."""
 
-    def answer(
+    def respond(
         self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_ms: float = 0.0
     ) -> None:
         """Pass the one final answer on."""
 
-    def gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the client has ended its connection, told or not."""
 
 
 @dataclass(slots=True)
-class Order:
+class InboundRequest:
     """A valid request of a client: what the module is told, and what goes on to a host."""
 
     wire_id: bytes  # X-Request-Id
     class_name: str
     plan_name: str
-    customer: str
+    tenant: str
     time_left_ms: float
     units: float
-    width: int
-    first: int
-    repeat: bool
+    gateway_count: int
+    first_gateway: int
+    is_retry: bool
     read_at: float  # when its last byte was read, by time.monotonic
     head: bytes  # request line and headers for the host, but for X-Deadline
     body: bytes
@@ -85,20 +106,25 @@
 class _Open:
     """A request until it is answered and its last attempt is over."""
 
-    __slots__ = ("id", "client", "order", "end_at", "guard", "attempts", "out")
+    __slots__ = ("request_id", "client", "order", "end_at", "guard", "attempts", "out")
 
-    def __init__(self, rid: str, client: Client, order: Order, end_at: float) -> None:
-        self.id, self.order, self.end_at = rid, order, end_at
+    def __init__(self, rid: str, client: Client, order: InboundRequest, end_at: float) -> None:
+        self.request_id, self.order, self.end_at = rid, order, end_at
         self.client: Client | None = client  # None: answered, or gone
         self.guard: asyncio.TimerHandle | None = None
         self.attempts: list[Attempt | None] = []  # None: never sent
         self.out = 0
 
 
-class Core:
+class Dispatcher:
     """Events of the sockets in, actions of the module out."""
 
-    def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, hosts: type[Hosts] = Hosts) -> None:
+    def __init__(
+        self,
+        config: Configuration,
+        loop: asyncio.AbstractEventLoop,
+        hosts: type[ConnectionPool] = ConnectionPool,
+    ) -> None:
         """`hosts`: what sends attempts; an emulator may stand in for the sockets."""
         self.settings = config.settings
         self._loop = loop
@@ -107,13 +133,13 @@
         self._hosts = hosts(
             loop, upstream_sockets(config.sockets), config.dial_ms, config.idle_ms, self._ended, self._wanted
         )
-        known = config.known.generation if config.known.servers else None
+        known = config.known.generation if config.known.endpoints else None
         # A generator of its own for the network's jitter: the module's draws stay a function of its events.
-        self._discovery = Discovery(
+        self._discovery = DiscoveryWatch(
             loop, config.discovery, self._listed, random.Random(config.seed ^ 1), known, list_spread_s(config)
         )
         self._counter = (
-            Counter(loop, config.counter, config.settings.count_wait_ms, self._post)
+            CounterClient(loop, config.counter, config.settings.counter_timeout_ms, self._post)
             if config.counter is not None
             else None
         )
@@ -121,13 +147,13 @@
         self._requests: dict[str, _Open] = {}
         self._wire_ids: set[bytes] = set()  # of the requests that are open or have an attempt out
         self._serial = 0
-        self._events: deque[api.Event] = deque()
+        self._events: deque[Event] = deque()
         self._handling = False
         self._lag_ms = 0.0
         self._started = 0.0
         self._beat_due = time.monotonic() + BEAT_S
         self._heard = False  # discovery has answered in this life
-        self.informed = asyncio.Event()  # it has, or has been waited for long enough
+        self.endpoints_known = asyncio.Event()  # it has, or has been waited for long enough
         self.draining = False
         self.ended = False  # all that was open is answered, and nothing new is begun
 
@@ -136,7 +162,7 @@
     def start(self) -> None:
         """Begin with the known list, then listen to discovery and the counter."""
         self._started = time.monotonic()
-        self._apply(self._known, "kept")
+        self._apply(self._known, UpdateKind.CACHED)
         self._hosts.start()
         self._discovery.start()
         if self._counter is not None:
@@ -145,7 +171,9 @@
         self._loop.call_later(BEAT_S, self._beat)
         # What an agent on this machine has counts as told from our first moment, and clients may come
         # to a restarted gateway before the front does. Where discovery must be asked, its word may take long.
-        self._loop.call_later(0.0 if self.settings.must_ask else LIST_WAIT_S, self.informed.set)
+        self._loop.call_later(
+            0.0 if self.settings.discovery_by_polling else LIST_WAIT_S, self.endpoints_known.set
+        )
 
     def stop(self) -> None:
         """Close everything towards the back end."""
@@ -154,19 +182,19 @@
         if self._counter is not None:
             self._counter.stop()
 
-    def reload(self, config: Config) -> None:
+    def reload(self, config: Configuration) -> None:
         """Go over to the discovery and the counter that a new configuration names; all else stays."""
         self._discovery.move(config.discovery)
         if self._counter is not None and config.counter is not None:
             self._counter.move(config.counter)
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether requests can be served: hosts are known, by discovery's word if it speaks at all."""
         if self.draining or not self._hosts.names():
             return False
         return self._heard or time.monotonic() - self._started > LIST_WAIT_S
 
-    def fail_all(self) -> None:
+    def fail_pending_requests(self) -> None:
         """Answer all that is open as failed, and begin nothing more: the process is about to end."""
         self.ended = True
         for request in list(self._requests.values()):
@@ -196,7 +224,7 @@
 
     # --- Clients ------------------------------------------------------------------------------------------
 
-    def request(self, client: Client, order: Order) -> str | None:
+    def submit(self, client: Client, order: InboundRequest) -> str | None:
         """Take a request; its id tells `left` which one is meant. None: its own id is in use."""
         # Guards against one client in another's name: hosts know a request by its id alone.
         if order.wire_id in self._wire_ids:
@@ -212,36 +240,36 @@
         self._requests[rid] = request
         request.guard = self._loop.call_later(max(left_ms - GUARD_MS, 0.0) / 1000, self._guard, request)
         self._post(
-            api.Request(
+            RequestReceived(
                 rid,
                 order.class_name,
                 order.plan_name,
-                order.customer,
+                order.tenant,
                 left_ms - MODULE_MS,
                 order.units,
-                order.width,
-                order.first,
-                order.repeat,
+                order.gateway_count,
+                order.first_gateway,
+                order.is_retry,
             )
         )
         return rid
 
-    def left(self, rid: str) -> None:
+    def client_disconnected(self, rid: str) -> None:
         """The client is gone."""
         request = self._requests.get(rid)
         if request is not None and request.client is not None:
             self._close(request)
-            self._post(api.ClientLeft(rid))
+            self._post(ClientDisconnected(rid))
             self._call_off(request)
 
     def _wanted(self, attempt: Attempt) -> bool:
         """Whether somebody waits for what is about to be written."""
-        return self._waits(self._requests.get(attempt.request))
+        return self._waits(self._requests.get(attempt.request_id))
 
     def _waits(self, request: _Open | None) -> bool:
         """Whether a request's client is there: the socket is asked, since its end may be unread for long."""
-        if request is not None and request.client is not None and request.client.gone():
-            self.left(request.id)
+        if request is not None and request.client is not None and request.client.has_disconnected():
+            self.client_disconnected(request.request_id)
         return request is not None and request.client is not None
 
     def _guard(self, request: _Open) -> None:
@@ -252,10 +280,10 @@
     def _give_up(self, request: _Open) -> None:
         if request.client is not None:
             self._answer(request, 504)
-            self._post(api.ClientLeft(request.id))
+            self._post(ClientDisconnected(request.request_id))
 
     def _answer(
-        self, request: _Open | None, status: int, reply: Reply | None = None, retry_after_ms: float = 0.0
+        self, request: _Open | None, status: int, reply: Response | None = None, retry_after_ms: float = 0.0
     ) -> None:
         """The one final answer; a second one is dropped."""
         if request is None or request.client is None:
@@ -263,9 +291,9 @@
         client = request.client
         self._close(request)
         if reply is None:
-            client.answer(status, retry_after_ms=retry_after_ms)
+            client.respond(status, retry_after_ms=retry_after_ms)
         else:
-            client.answer(status, reply.body, reply.headers.get(b"content-type", b""))
+            client.respond(status, reply.body, reply.headers.get(b"content-type", b""))
         self._call_off(request)
 
     def _close(self, request: _Open) -> None:
@@ -284,59 +312,65 @@
                     self._hosts.withdraw(attempt)
 
     def _forget(self, request: _Open) -> None:
-        if request.client is None and not request.out and self._requests.pop(request.id, None) is not None:
+        if (
+            request.client is None
+            and not request.out
+            and self._requests.pop(request.request_id, None) is not None
+        ):
             self._wire_ids.discard(request.order.wire_id)
 
     # --- Hosts --------------------------------------------------------------------------------------------
 
-    def _listed(self, listing: Listing) -> None:
+    def _listed(self, listing: EndpointList) -> None:
         self._heard = True
-        self.informed.set()
-        self._apply(listing, "full" if listing.whole else "changes")
+        self.endpoints_known.set()
+        self._apply(listing, UpdateKind.FULL if listing.whole else UpdateKind.CHANGES)
 
-    def _apply(self, listing: Listing, kind: str) -> None:
-        gone = {s.name for s in listing.servers if s.status == "removed"}
-        if kind != "changes":  # a whole list replaces the old one
-            gone |= self._hosts.names() - {s.name for s in listing.servers}
+    def _apply(self, listing: EndpointList, kind: UpdateKind) -> None:
+        gone = {s.name for s in listing.endpoints if s.status is EndpointStatus.REMOVED}
+        if kind is not UpdateKind.CHANGES:  # a whole list replaces the old one
+            gone |= self._hosts.names() - {s.name for s in listing.endpoints}
         self._hosts.update(
             listing.addresses,
             gone,
-            {s.name for s in listing.servers if s.status != "up"},
-            {s.name: s.up_since_ms for s in listing.servers},
+            {s.name for s in listing.endpoints if s.status is not EndpointStatus.UP},
+            {s.name: s.started_at_ms for s in listing.endpoints},
         )
-        if listing.servers or kind != "changes":
-            self._post(api.ServerList(kind, listing.servers))
+        if listing.endpoints or kind is not UpdateKind.CHANGES:
+            self._post(EndpointUpdate(kind, listing.endpoints))
         self._hosts.recall()  # after the module has heard: what comes back goes to another host
 
-    def _send(self, act: api.Send) -> None:
-        request = self._requests.get(act.request)
+    def _send(self, act: StartAttempt) -> None:
+        request = self._requests.get(act.request_id)
         number = len(request.attempts) if request is not None else 0
         left_s = request.end_at - time.monotonic() if request is not None else 0.0
         waits = self._waits(request)
-        if not waits or left_s <= 0 or number >= self.settings.try_limit:
+        if not waits or left_s <= 0 or number >= self.settings.max_attempts:
             if request is not None:
                 request.attempts.append(None)
-            self._post(api.Outcome(act.request, number, act.server, api.MOOT, 0.0, not waits))
+            self._post(
+                AttemptEnded(act.request_id, number, act.endpoint, AttemptResult.NOT_STARTED, 0.0, not waits)
+            )
             return
         wait_s = min(act.timeout_ms / 1000, left_s) if act.timeout_ms else left_s
         order = request.order
         now = time.monotonic()
         attempt = Attempt(
-            act.request,
+            act.request_id,
             number,
-            act.server,
+            act.endpoint,
             order.head,
             order.body,
             now,
             now + wait_s,
-            now + act.write_by_ms / 1000,
+            now + act.write_timeout_ms / 1000,
         )
         request.attempts.append(attempt)
         request.out += 1
         self._hosts.send(attempt)
 
-    def _ended(self, attempt: Attempt, result: str, reply: Reply | None) -> None:
-        request = self._requests[attempt.request]
+    def _ended(self, attempt: Attempt, result: AttemptResult, reply: Response | None) -> None:
+        request = self._requests[attempt.request_id]
         request.out -= 1
         # What lay unread while we stalled is not the host's latency.
         now = time.monotonic()
@@ -344,19 +378,19 @@
         if reply is not None:
             took = max(took - self._behind_ms(now), 0.0)
         units = 0.0
-        if result == api.OK:
-            units = reply.amount(b"billed-units", self.settings.most_units)
+        if result == AttemptResult.OK:
+            units = reply.amount(b"billed-units", self.settings.max_request_units)
             self._answer(request, 200, reply)
         final = request.client is None
         self._forget(request)
         self._post(
-            api.Outcome(
-                attempt.request, attempt.number, attempt.server, result, took, final, true_units=units
+            AttemptEnded(
+                attempt.request_id, attempt.number, attempt.endpoint, result, took, final, actual_units=units
             )
         )
 
-    def _cancel(self, act: api.Cancel) -> None:
-        request = self._requests.get(act.request)
+    def _cancel(self, act: CancelAttempt) -> None:
+        request = self._requests.get(act.request_id)
         if request is not None and act.attempt < len(request.attempts):
             attempt = request.attempts[act.attempt]
             if attempt is not None:
@@ -364,7 +398,7 @@
 
     # --- The module ---------------------------------------------------------------------------------------
 
-    def _post(self, event: api.Event) -> None:
+    def _post(self, event: Event) -> None:
         """Hand events to the module in their order, also those that its own actions give rise to."""
         self._events.append(event)
         if self._handling:
@@ -376,14 +410,14 @@
         finally:
             self._handling = False
 
-    def _handle(self, event: api.Event) -> None:
+    def _handle(self, event: Event) -> None:
         try:
             actions = self._gateway.handle(self._clock.now_ms(), event)
         except Exception:
             # Guards all other requests against one that the module breaks on.
             log.exception("the module failed on %s", type(event).__name__)
-            if isinstance(event, api.Request):
-                self._answer(self._requests.get(event.id), 500)
+            if isinstance(event, RequestReceived):
+                self._answer(self._requests.get(event.request_id), 500)
             return
         for act in actions:
             try:
@@ -391,24 +425,24 @@
             except Exception:
                 log.exception("an action failed: %s", type(act).__name__)
 
-    def _act(self, act: api.Action) -> None:
+    def _act(self, act: Action) -> None:
         match act:
-            case api.Send():
+            case StartAttempt():
                 self._send(act)
-            case api.Refuse():
-                self._answer(self._requests.get(act.request), 503, retry_after_ms=act.retry_after_ms)
-            case api.Fail():
-                self._answer(self._requests.get(act.request), 502)
-            case api.Cancel():
+            case RejectRequest():
+                self._answer(self._requests.get(act.request_id), 503, retry_after_ms=act.retry_after_ms)
+            case FailRequest():
+                self._answer(self._requests.get(act.request_id), 502)
+            case CancelAttempt():
                 self._cancel(act)
-            case api.Timer():
-                self._loop.call_later(max(act.in_ms, 0.0) / 1000, self._post, api.TimerDue(act.name))
-            case api.Count():
+            case StartTimer():
+                self._loop.call_later(max(act.delay_ms, 0.0) / 1000, self._post, TimerFired(act.name))
+            case IncrementCounter():
                 if self._counter is None:
-                    self._post(api.CountReply(act.name, api.CONNECT_FAILED, 0.0))
+                    self._post(CounterReply(act.name, CounterResult.CONNECT_FAILED, 0.0))
                 else:
                     self._counter.call(act)
-            case api.Subscribe():
+            case SubscribeToEndpoints():
                 pass  # the watch is always on
-            case api.Log():
+            case WriteLog():
                 log.info("%s", act.text)
--- a/api_gateway/network/downstream/listener.py
+++ b/api_gateway/network/downstream/listener.py
@@ -14,11 +14,11 @@
 
 import httptools
 
-from api_gateway import interface as api
 from api_gateway.configuration import client_sockets
-from api_gateway.network.dispatcher import Core, Order
+from api_gateway.model.settings import Idempotency, RequestClass, Settings
+from api_gateway.network.dispatcher import Dispatcher, InboundRequest
 from api_gateway.network.response_parser import LONGEST_BODY
-from api_gateway.network.socket_state import hung_up, readable
+from api_gateway.network.socket_state import has_unread_data, is_closed_by_peer
 
 log = logging.getLogger(__name__)
 
@@ -98,10 +98,10 @@
 class Terms:
     """What a request may name: classes and plans as they stand in its headers, units, sets of gateways."""
 
-    def __init__(self, settings: api.Settings) -> None:
+    def __init__(self, settings: Settings) -> None:
         self.classes = {c.name.encode(): c for c in settings.classes}
         self.plans = {p.name.encode(): p.name for p in settings.plans}
-        self._most_units, self._gateways = settings.most_units, settings.fleet_size
+        self._most_units, self._gateways = settings.max_request_units, settings.fleet_size
         self.quota_info = lru_cache(maxsize=1024)(self._quota_info)  # a few values make up all traffic
 
     def _quota_info(self, value: bytes) -> tuple[float, int, int]:
@@ -119,7 +119,7 @@
         return float(units), int(spread), int(first)
 
 
-def order(message: _Message, terms: Terms) -> Order:
+def order(message: _Message, terms: Terms) -> InboundRequest:
     """A request for `/api/` as an `Order`; BadRequestError where it breaks the protocol."""
     headers = message.headers
     path, _, _ = message.url.partition(b"?")
@@ -136,7 +136,7 @@
     time_left_ms = float(deadline[1]) / (1 if deadline[2] == b"m" else 1000)
     units, width, first = terms.quota_info(headers.get(b"quota-info", b""))
     # No client of a class waits for longer than its deadline, whatever it says.
-    return Order(
+    return InboundRequest(
         headers.get(b"x-request-id", b""),
         cls.name,
         plan,
@@ -169,16 +169,18 @@
         raise BadRequestError("Content-Length", 413)
 
 
-def _head(message: _Message, cls: api.RequestClass) -> bytes:
+def _head(message: _Message, cls: RequestClass) -> bytes:
     """The head for the host: method, path, query, id and key unchanged."""
     headers, key = message.headers, message.headers.get(b"idempotency-key")
     rid = headers.get(b"x-request-id", b"")
     if not WORD.fullmatch(rid) or (key is not None and not WORD.fullmatch(key)):
         raise BadRequestError("X-Request-Id or Idempotency-Key")
     # A class that may not simply be repeated must not come as a method that may.
-    if message.method != (b"GET" if cls.effect == "safe" else b"POST"):
+    if message.method != (b"GET" if cls.idempotency is Idempotency.IDEMPOTENT else b"POST"):
         raise BadRequestError("method")
-    if (cls.effect == "keyed" and key is None) or (cls.effect == "safe" and message.body):
+    if (cls.idempotency is Idempotency.WITH_KEY and key is None) or (
+        cls.idempotency is Idempotency.IDEMPOTENT and message.body
+    ):
         raise BadRequestError("Idempotency-Key or body")
     lines = [b"%b %b HTTP/1.1\r\nHost: upstream\r\nX-Request-Id: %b\r\n" % (message.method, message.url, rid)]
     if key is not None:
@@ -190,11 +192,11 @@
     return b"".join(lines)
 
 
-class ClientConnection(asyncio.Protocol):
+class DownstreamConnection(asyncio.Protocol):
     """One connection of a client: requests are taken one at a time, in order."""
 
-    def __init__(self, server: Server) -> None:
-        self._server, self._core = server, server.core
+    def __init__(self, server: Listener) -> None:
+        self._server, self._dispatcher = server, server.dispatcher
         self.transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
         self._message: _Message | None = None  # being read
@@ -251,7 +253,7 @@
         self._ending = True
         self._queue.clear()
         if self._open is not None:
-            self._core.left(self._open)
+            self._dispatcher.client_disconnected(self._open)
             self._open = None
 
     # httptools; what these raise reaches data_received as an HttpParserError
@@ -334,32 +336,32 @@
             self._serve(item)
         except BadRequestError as error:
             self._keep_alive = False  # guards against a flood on one connection: it has to come again
-            self.answer(error.status)
+            self.respond(error.status)
 
     def _serve(self, message: _Message) -> None:
         path = message.url.partition(b"?")[0]
         if path == b"/ready" and message.method == b"GET":
-            self.answer(200 if self._core.ready() else 503)
+            self.respond(200 if self._dispatcher.is_ready() else 503)
         elif not path.startswith(b"/api/"):
             raise BadRequestError("path", 404)
-        elif self._core.ended:
-            self.answer(503)  # nothing that is begun now would come to its end
+        elif self._dispatcher.ended:
+            self.respond(503)  # nothing that is begun now would come to its end
         else:
             wanted = order(message, self._server.terms)
-            rid = self._core.request(self, wanted)
+            rid = self._dispatcher.submit(self, wanted)
             if rid is None:
                 raise BadRequestError("an id that is in use", 409)
             if self._busy:  # else it is answered already
                 self._open = rid
 
-    def answer(
+    def respond(
         self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_ms: float = 0.0
     ) -> None:
         """The one answer to the request that is open."""
         self._open, self._busy, self.answered = None, False, True
         if self.transport.is_closing():
             return
-        keep = self._keep_alive and not self._core.draining
+        keep = self._keep_alive and not self._dispatcher.draining
         parts = [LINES[status], b"Content-Length: %d\r\n" % len(body)]
         if content_type:
             parts.append(b"Content-Type: %b\r\n" % content_type)
@@ -373,13 +375,13 @@
             self._end(status)
         self._pump()
 
-    def gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the client has left: asked of the socket, since while requests wait we read no further.
 
         Then our side ends, too: nobody is answered, and a connection that waits for its turn would stay
         for good.
         """
-        if not hung_up(self.transport):
+        if not is_closed_by_peer(self.transport):
             return False
         self.transport.abort()
         return True
@@ -419,13 +421,13 @@
             or self._message is not None
             or self._queue
             or self.transport.is_closing()
-            or readable(self.transport)
+            or has_unread_data(self.transport)
         )
 
     def may_go(self) -> bool:
         """Whether an abort loses nothing where no answer is owed: none that is unsent, no unread request."""
         transport = self.transport
-        return not (transport.is_closing() or transport.get_write_buffer_size() or readable(transport))
+        return not (transport.is_closing() or transport.get_write_buffer_size() or has_unread_data(transport))
 
     def close_if_idle(self, now: float) -> None:
         """Close unless a request is owed its answer, is being read, or may be on its way at once."""
@@ -433,16 +435,16 @@
             self.transport.close()
 
 
-class Server:
+class Listener:
     """Accepts clients while there is room for them."""
 
-    def __init__(self, core: Core, loop: asyncio.AbstractEventLoop, sockets: int) -> None:
-        self.core, self.loop = core, loop
-        self.terms = Terms(core.settings)
-        self.connections: set[ClientConnection] = set()
+    def __init__(self, dispatcher: Dispatcher, loop: asyncio.AbstractEventLoop, sockets: int) -> None:
+        self.dispatcher, self.loop = dispatcher, loop
+        self.terms = Terms(dispatcher.settings)
+        self.connections: set[DownstreamConnection] = set()
         # Owed nothing, the longest first: those that have had an answer, and those still to be heard.
-        self._kept: dict[ClientConnection, None] = {}
-        self._unheard: dict[ClientConnection, None] = {}
+        self._kept: dict[DownstreamConnection, None] = {}
+        self._unheard: dict[DownstreamConnection, None] = {}
         self._most = client_sockets(sockets)
         self._socket: socket.socket | None = None
         self._accepting = False
@@ -478,24 +480,24 @@
             connection.close_if_idle(now)
         return not self.connections and not self._pending
 
-    def opened(self, connection: ClientConnection) -> None:
+    def opened(self, connection: DownstreamConnection) -> None:
         """A connection is up, and silent so far."""
         self.connections.add(connection)
         self.waits(connection)
 
-    def waits(self, connection: ClientConnection) -> None:
+    def waits(self, connection: DownstreamConnection) -> None:
         """From now on a connection is owed nothing."""
         connection.since = self.loop.time()
         self.owes(connection)
         (self._kept if connection.answered else self._unheard)[connection] = None
         self._resume()
 
-    def owes(self, connection: ClientConnection) -> None:
+    def owes(self, connection: DownstreamConnection) -> None:
         """A connection is owed an answer."""
         self._kept.pop(connection, None)
         self._unheard.pop(connection, None)
 
-    def closed(self, connection: ClientConnection) -> None:
+    def closed(self, connection: DownstreamConnection) -> None:
         """A connection is gone; there is room for another."""
         self.connections.discard(connection)
         self.owes(connection)
@@ -552,7 +554,7 @@
                 return False
             accepted.setblocking(False)
             task = self.loop.create_task(
-                self.loop.connect_accepted_socket(lambda: ClientConnection(self), accepted)
+                self.loop.connect_accepted_socket(lambda: DownstreamConnection(self), accepted)
             )
             self._pending.add(task)
             task.add_done_callback(self._accepted)
--- a/api_gateway/network/response_parser.py
+++ b/api_gateway/network/response_parser.py
@@ -19,7 +19,7 @@
 NO_BODY = frozenset((204, 304))
 
 
-class SpoiltError(Exception):
+class MalformedResponseError(Exception):
     """What has come is no answer that can be passed on."""
 
 
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class Reply:
+class Response:
     """One whole answer."""
 
     status: int
@@ -43,7 +43,7 @@
         return value if value is not None and 0 < value <= most else 0.0
 
 
-class ReplyProtocol(asyncio.Protocol):
+class ResponseProtocol(asyncio.Protocol):
     """Parses the answers to what was written; a subclass says what they and a lost connection mean."""
 
     def __init__(self, longest: int = LONGEST_BODY) -> None:
@@ -53,7 +53,7 @@
         self._longest = longest
         self._due = 0  # answers that are still to come
         self._taken = 0  # bytes of the answer that is coming
-        self._whole: list[Reply] = []
+        self._whole: list[Response] = []
         self._reset()
 
     def _reset(self) -> None:
@@ -62,7 +62,7 @@
         self._size = 0
         self._begun = False
 
-    def replied(self, reply: Reply, reusable: bool) -> None:
+    def replied(self, reply: Response, reusable: bool) -> None:
         """A whole answer to the oldest request; `reusable` if the connection may carry another."""
         raise NotImplementedError
 
@@ -138,7 +138,7 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         name = name.lower()
         if name == b"content-length" and name in self._headers:
-            raise SpoiltError("two lengths: one of them cuts the answer")
+            raise MalformedResponseError("two lengths: one of them cuts the answer")
         self._headers[name] = value
 
     def on_headers_complete(self) -> None:
@@ -147,15 +147,15 @@
         if status < 200 or status in NO_BODY:
             return
         if coding is not None and (length is not None or coding.strip().lower() != b"chunked"):
-            raise SpoiltError("framing")
+            raise MalformedResponseError("framing")
         # Guards against a cut answer: one with neither length nor chunks ends where its connection breaks.
         if coding is None and (length is None or not length.isdigit() or int(length) > self._longest):
-            raise SpoiltError("no length, or more than may be passed on")
+            raise MalformedResponseError("no length, or more than may be passed on")
 
     def on_body(self, data: bytes) -> None:
         self._size += len(data)
         if self._size > self._longest:
-            raise SpoiltError("too long")
+            raise MalformedResponseError("too long")
         self._body.append(data)
 
     def on_message_complete(self) -> None:
@@ -163,6 +163,6 @@
         if status >= 200:  # interim answers are not the answer, but count for its bound
             self._taken = 0
             self._whole.append(
-                Reply(status, self._headers, b"".join(self._body), self._parser.should_keep_alive())
+                Response(status, self._headers, b"".join(self._body), self._parser.should_keep_alive())
             )
         self._reset()
--- a/api_gateway/network/socket_state.py
+++ b/api_gateway/network/socket_state.py
@@ -10,12 +10,12 @@
 import select
 
 
-def readable(transport: asyncio.BaseTransport) -> bool:
+def has_unread_data(transport: asyncio.BaseTransport) -> bool:
     """Whether anything has come that is unread: data, or the other side's end."""
     return _polled(transport, select.POLLIN)
 
 
-def hung_up(transport: asyncio.BaseTransport) -> bool:
+def is_closed_by_peer(transport: asyncio.BaseTransport) -> bool:
     """Whether the other side has ended or reset the connection, also behind data that is unread."""
     return transport.is_closing() or _polled(transport, select.POLLRDHUP)
 
--- a/api_gateway/network/upstream/pool.py
+++ b/api_gateway/network/upstream/pool.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from functools import partial
 
-from api_gateway import interface as api
-from api_gateway.network.response_parser import Reply, ReplyProtocol
+from api_gateway.model.results import AttemptResult
+from api_gateway.network.response_parser import Response, ResponseProtocol
 
 GRACE_S = 0.002  # a turn of the loop or two, in which what has arrived is read before a time-out counts
 IDLE_SHARE = 0.5  # idle connections are retired after this part of the host's idle limit
@@ -23,9 +23,9 @@
     """One Send until its one outcome. Times are in seconds by time.monotonic."""
 
     __slots__ = (
-        "request",
+        "request_id",
         "number",
-        "server",
+        "endpoint",
         "head",
         "body",
         "sent_at",
@@ -52,7 +52,7 @@
     ) -> None:
         """`until`: when we stop waiting for its answer; `write_by`: its last byte is written by then, or
         nothing of it counts."""
-        self.request, self.number, self.server = request, number, server
+        self.request_id, self.number, self.endpoint = request, number, server
         self.head, self.body = head, body
         self.sent_at, self.until, self.write_by = sent_at, until, write_by
         self.connection: _Connection | None = None
@@ -78,7 +78,7 @@
         self.idle: list[_Connection] = []  # the freshest last
 
 
-class Hosts:
+class ConnectionPool:
     """Sends attempts and reports how each one ended, exactly once."""
 
     def __init__(
@@ -87,7 +87,7 @@
         most: int,
         dial_ms: float,
         idle_ms: float,
-        ended: Callable[[Attempt, str, Reply | None], None],
+        ended: Callable[[Attempt, AttemptResult, Response | None], None],
         wanted: Callable[[Attempt], bool],
     ) -> None:
         """`wanted`: whether somebody waits for an attempt, asked when a dial has come up."""
@@ -137,7 +137,7 @@
         for attempt, host in list(self._dialling.items()):
             if not self._takes(host):
                 self._abandon(attempt)
-                self._end(attempt, api.WITHDRAWN)
+                self._end(attempt, AttemptResult.WITHDRAWN)
 
     def _takes(self, host: _Host) -> bool:
         """Whether anything new may be written to a host, as it stood when an attempt was begun."""
@@ -149,13 +149,13 @@
 
     def send(self, attempt: Attempt) -> None:
         """Write an attempt to an idle connection, or to a new one."""
-        host = self._hosts.get(attempt.server)
+        host = self._hosts.get(attempt.endpoint)
         if host is None:
-            self._end(attempt, api.CONNECT_FAILED)
+            self._end(attempt, AttemptResult.CONNECT_FAILED)
             return
         now = time.monotonic()
         if not self._takes(host) or now > attempt.write_by:
-            self._end(attempt, api.WITHDRAWN)
+            self._end(attempt, AttemptResult.WITHDRAWN)
             return
         attempt.timer = self._loop.call_later(max(attempt.until - now, 0.0), self._overdue, attempt)
         connection = self._rested(host)
@@ -178,12 +178,12 @@
         """Give an attempt up by ending its connection."""
         if not attempt.done:
             self._abandon(attempt)
-            self._end(attempt, api.CANCELLED)
+            self._end(attempt, AttemptResult.CANCELLED)
 
     def _dial(self, host: _Host, attempt: Attempt) -> None:
         # Guards the descriptors. The bound is ours, so what it stops is not told as the host's failure.
         if self._dials >= DIALS or not self._room():
-            self._end(attempt, api.NO_ROOM)
+            self._end(attempt, AttemptResult.LOCAL_LIMIT)
             return
         self._dials += 1
         self._dialling[attempt] = host
@@ -205,7 +205,7 @@
         """End an attempt whose last byte is not written: it never ran. Any other goes on."""
         if not attempt.done and (attempt.connection is None or attempt.connection.unsent):
             self._abandon(attempt)
-            self._end(attempt, api.WITHDRAWN)
+            self._end(attempt, AttemptResult.WITHDRAWN)
 
     def _holds(self, attempt: Attempt, host: _Host) -> bool:
         """Whether what a decision went by still holds when its dial has come up."""
@@ -231,9 +231,9 @@
         attempt.dial_timer.cancel()
         error = None if task.cancelled() else task.exception()
         if task.cancelled() or (error is not None and not isinstance(error, ConnectionResetError)):
-            self._end(attempt, api.CONNECT_FAILED)
+            self._end(attempt, AttemptResult.CONNECT_FAILED)
         elif error is not None:
-            self._end(attempt, api.UNSENT)
+            self._end(attempt, AttemptResult.NOT_SENT)
         else:
             self._up(attempt, host, task.result()[1])
 
@@ -242,9 +242,9 @@
             connection.drop()
         elif not self._holds(attempt, host):  # dials come up late
             connection.drop()
-            self._end(attempt, api.WITHDRAWN)  # unless the client's leaving has ended it already
+            self._end(attempt, AttemptResult.WITHDRAWN)  # unless the client's leaving has ended it already
         elif connection.transport.is_closing():  # it broke before this turn of the loop
-            self._end(attempt, api.UNSENT)
+            self._end(attempt, AttemptResult.NOT_SENT)
         else:
             self._begin(attempt, connection)
 
@@ -256,9 +256,9 @@
     def _time_out(self, attempt: Attempt) -> None:
         connection = attempt.connection
         if connection is None:
-            result = api.CONNECT_FAILED
+            result = AttemptResult.CONNECT_FAILED
         else:
-            result = api.UNSENT if connection.unsent else api.TIMED_OUT
+            result = AttemptResult.NOT_SENT if connection.unsent else AttemptResult.TIMED_OUT
         self._abandon(attempt)
         self._end(attempt, result)
 
@@ -268,7 +268,7 @@
     def _dial_time_out(self, attempt: Attempt) -> None:
         if attempt.dial is not None:
             self._abandon(attempt)
-            self._end(attempt, api.CONNECT_FAILED)
+            self._end(attempt, AttemptResult.CONNECT_FAILED)
 
     @staticmethod
     def _abandon(attempt: Attempt) -> None:
@@ -279,7 +279,7 @@
             attempt.connection.attempt = None
             attempt.connection.drop()
 
-    def _end(self, attempt: Attempt, result: str, reply: Reply | None = None) -> None:
+    def _end(self, attempt: Attempt, result: AttemptResult, reply: Response | None = None) -> None:
         if attempt.done:
             return
         attempt.done = True
@@ -304,15 +304,15 @@
         if attempt is None:
             return
         if connection.unsent:
-            self._end(attempt, api.UNSENT)
+            self._end(attempt, AttemptResult.NOT_SENT)
         elif connection.kept and not connection.begun():
             # The freshest one kept was dead, and nobody had said so: the older ones are no better.
             self._close_idle(connection.host)
-            self._end(attempt, api.STALE)
+            self._end(attempt, AttemptResult.STALE_CONNECTION)
         else:
-            self._end(attempt, api.RESET)
+            self._end(attempt, AttemptResult.CONNECTION_RESET)
 
-    def replied(self, connection: _Connection, attempt: Attempt, reply: Reply, reusable: bool) -> None:
+    def replied(self, connection: _Connection, attempt: Attempt, reply: Response, reusable: bool) -> None:
         """A whole answer: the connection is free again, the attempt is over."""
         host = connection.host
         if reusable and not connection.unsent and self._hosts.get(host.name) is host:
@@ -326,7 +326,7 @@
         """What came is no answer: the attempt may have run."""
         attempt, connection.attempt = connection.attempt, None
         if attempt is not None:
-            self._end(attempt, api.SPOILT)
+            self._end(attempt, AttemptResult.MALFORMED_RESPONSE)
 
     def _close_idle(self, host: _Host) -> None:
         idle, host.idle = host.idle, []
@@ -345,18 +345,18 @@
         self._loop.call_later(SWEEP_S, self._sweep)
 
 
-def _result(reply: Reply) -> str:
+def _result(reply: Response) -> AttemptResult:
     if reply.status == 200:
-        return api.OK
+        return AttemptResult.OK
     if reply.status in (503, 504) and reply.headers.get(b"x-not-run") == b"1":
-        return api.FULL
-    return api.ERROR
+        return AttemptResult.OVERLOADED
+    return AttemptResult.ERROR
 
 
-class _Connection(ReplyProtocol):
+class _Connection(ResponseProtocol):
     """One connection to a host; carries one attempt at a time."""
 
-    def __init__(self, pool: Hosts, host: _Host) -> None:
+    def __init__(self, pool: ConnectionPool, host: _Host) -> None:
         super().__init__()
         self._pool, self.host = pool, host
         self.attempt: Attempt | None = None
@@ -380,7 +380,7 @@
         of the connection, after which what is written may have run."""
         return not self.transport.is_closing() and not self._poll.poll(0)
 
-    def replied(self, reply: Reply, reusable: bool) -> None:
+    def replied(self, reply: Response, reusable: bool) -> None:
         attempt, self.attempt = self.attempt, None
         if attempt is not None:
             self._pool.replied(self, attempt, reply, reusable)
--- a/api_gateway/simulator/adapter.py
+++ b/api_gateway/simulator/adapter.py
@@ -6,8 +6,9 @@
 from collections.abc import Iterable, Iterator
 from typing import TextIO
 
-from api_gateway import interface as api
 from api_gateway.decisions.gateway import Gateway
+from api_gateway.model.endpoints import Endpoint, UpdateKind
+from api_gateway.model.events import EndpointUpdate
 from api_gateway.simulator import codec as wire
 
 
@@ -19,7 +20,7 @@
         self.out = out
         self.line_no = 0
         self.gateways: dict[str, Gateway] = {}
-        self.catalogs: dict[int, tuple[api.Server, ...]] = {}
+        self.catalogs: dict[int, tuple[Endpoint, ...]] = {}
 
     def read(self) -> list[str] | None:
         """The next line's parts; None at the end of input."""
@@ -57,7 +58,11 @@
             if parts[0] == "DIRECTORY_UPDATE":
                 event: object = self.server_list(parts)
             else:
-                event = wire.event(parts)
+                try:
+                    event = wire.event(parts)
+                except wire.SettingsError as error:
+                    reply.append(f"BROKEN {parts[1]} ValueError: {error}")
+                    continue
             reply.extend(self.deliver(now_ms, parts[1], event))
 
     def catalog(self, parts: list[str]) -> None:
@@ -70,21 +75,21 @@
             entry = self.read()
             if entry is None:
                 raise wire.WireError("input ended inside a list")
-            servers.append(wire.server(entry))
+            servers.append(wire.endpoint(entry))
         self.catalogs[number] = tuple(servers)
 
-    def server_list(self, parts: list[str]) -> api.ServerList:
+    def server_list(self, parts: list[str]) -> EndpointUpdate:
         """A list event with the entries it refers to."""
         if len(parts) != 5:
             raise wire.WireError("DIRECTORY_UPDATE: wrong number of values")
         kind = wire.one_of(wire.LIST_KINDS, parts[2])
         wire.integer(parts[3])
-        if kind == "failed":
-            return api.ServerList(kind)
+        if kind is UpdateKind.FAILED:
+            return EndpointUpdate(kind)
         number = wire.integer(parts[4])
         if number not in self.catalogs:
             raise wire.WireError(f"no list number {number}")
-        return api.ServerList(kind, self.catalogs[number])
+        return EndpointUpdate(kind, self.catalogs[number])
 
     def deliver(self, now_ms: float, instance: str, event: object) -> list[str]:
         """Hand one event to its instance; a failure of the module is reported for that instance."""
--- a/testbed/hollow.py
+++ b/testbed/hollow.py
@@ -12,21 +12,22 @@
 from collections import deque
 from collections.abc import Callable
 
-from api_gateway import interface as api
-from api_gateway.configuration import Config
-from api_gateway.network.dispatcher import Core, Order
-from api_gateway.network.response_parser import Reply
+from api_gateway.configuration import Configuration
+from api_gateway.model.actions import StartAttempt
+from api_gateway.model.results import AttemptResult
+from api_gateway.network.dispatcher import Dispatcher, InboundRequest
+from api_gateway.network.response_parser import Response
 from api_gateway.network.upstream.pool import Attempt
 from testbed import configuration
 from testbed.hosts import HostTimes
 from testbed.latency import Added
 
 DIAL_MS = 2.0  # a trip across a zone and back, and the host's work on it
-SERVED = Reply(200, {}, b"", True)
+SERVED = Response(200, {}, b"", True)
 HEAD = b"GET /api/0 HTTP/1.1\r\n"
 
 
-class ReckonedHosts:
+class SimulatedConnectionPool:
     """Stands in for the upstream pool `Hosts`: a pool by the same rules, with no sockets behind it."""
 
     times: HostTimes  # shared by all gateways of a process
@@ -39,7 +40,7 @@
         most: int,
         dial_ms: float,
         idle_ms: float,
-        ended: Callable[[Attempt, str, Reply | None], None],
+        ended: Callable[[Attempt, AttemptResult, Response | None], None],
         wanted: Callable[[Attempt], bool],
     ) -> None:
         self._loop, self._ended, self._idle_s = loop, ended, idle_ms / 2000
@@ -76,7 +77,7 @@
 
     def cancel(self, attempt: Attempt) -> None:
         """Give an attempt up."""
-        self._end(attempt, api.CANCELLED, None)
+        self._end(attempt, AttemptResult.CANCELLED, None)
 
     def connections(self) -> int:
         """Open ones: free and not yet retired, or under a request."""
@@ -90,10 +91,10 @@
 
     def send(self, attempt: Attempt) -> None:
         """Write an attempt to a kept connection, or to a new one."""
-        if not self._names.get(attempt.server):
-            self._loop.call_soon(self._end, attempt, api.CONNECT_FAILED, None)
+        if not self._names.get(attempt.endpoint):
+            self._loop.call_soon(self._end, attempt, AttemptResult.CONNECT_FAILED, None)
             return
-        free, took = self._fresh(attempt.server), round(self.times.draw(), 3)  # timers know milliseconds
+        free, took = self._fresh(attempt.endpoint), round(self.times.draw(), 3)  # timers know milliseconds
         dial = 0.0
         if free:
             free.pop()
@@ -101,18 +102,18 @@
             self.dials += 1
             dial = DIAL_MS / 1000
         self._out += 1
-        self.load[attempt.server] = self.load.get(attempt.server, 0) + 1
+        self.load[attempt.endpoint] = self.load.get(attempt.endpoint, 0) + 1
         self._loop.call_later(took + dial, self._answered, attempt, took)
 
     def _answered(self, attempt: Attempt, took: float) -> None:
         self._out -= 1
-        if attempt.server in self._names:
-            self._free.setdefault(attempt.server, deque()).append(self._loop.time())
-        ReckonedHosts.host_s = took
-        self._end(attempt, api.OK, SERVED)
-        ReckonedHosts.host_s = 0.0
+        if attempt.endpoint in self._names:
+            self._free.setdefault(attempt.endpoint, deque()).append(self._loop.time())
+        SimulatedConnectionPool.host_s = took
+        self._end(attempt, AttemptResult.OK, SERVED)
+        SimulatedConnectionPool.host_s = 0.0
 
-    def _end(self, attempt: Attempt, result: str, reply: Reply | None) -> None:
+    def _end(self, attempt: Attempt, result: AttemptResult, reply: Response | None) -> None:
         if not attempt.done:
             attempt.done = True
             self._ended(attempt, result, reply)
@@ -126,30 +127,30 @@
     def __init__(self, fleet: HollowFleet, due: float) -> None:
         self.fleet, self.due = fleet, due
 
-    def answer(
+    def respond(
         self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_ms: float = 0.0
     ) -> None:
         """The one answer."""
         self.fleet.answered(self, status)
 
-    def gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         """It stays."""
         return False
 
 
-class _NotingCore(Core):
+class _RecordingDispatcher(Dispatcher):
     """Notes each request's first attempt, which takes its units."""
 
     def __init__(
-        self, config: Config, loop: asyncio.AbstractEventLoop, sent: list[tuple[float, int, float]]
+        self, config: Configuration, loop: asyncio.AbstractEventLoop, sent: list[tuple[float, int, float]]
     ) -> None:
-        super().__init__(config, loop, ReckonedHosts)
+        super().__init__(config, loop, SimulatedConnectionPool)
         self.sent = sent
 
-    def _send(self, act: api.Send) -> None:
-        request = self._requests.get(act.request)
+    def _send(self, act: StartAttempt) -> None:
+        request = self._requests.get(act.request_id)
         if request is not None and not request.attempts:
-            self.sent.append((time.time(), int(request.order.customer, 16), request.order.units))
+            self.sent.append((time.time(), int(request.order.tenant, 16), request.order.units))
         super()._send(act)
 
     def connections(self) -> tuple[int, int]:
@@ -164,12 +165,14 @@
 class HollowFleet:
     """All hollow gateways of one process, with the load on them."""
 
-    def __init__(self, configs: list[Config], *, customers: int, rate: float, skew: float, seed: int) -> None:
+    def __init__(
+        self, configs: list[Configuration], *, customers: int, rate: float, skew: float, seed: int
+    ) -> None:
         """`rate`: requests a second of each gateway in the mean; `skew`: shape of the gateways' shares."""
         loop = asyncio.get_running_loop()
-        ReckonedHosts.times, ReckonedHosts.load = HostTimes(20.0, 0.8, seed), {}
+        SimulatedConnectionPool.times, SimulatedConnectionPool.load = HostTimes(20.0, 0.8, seed), {}
         self.sent: list[tuple[float, int, float]] = []  # time, customer, units of each first attempt
-        self.cores = [_NotingCore(config, loop, self.sent) for config in configs]
+        self.dispatchers = [_RecordingDispatcher(config, loop, self.sent) for config in configs]
         self._fleet = configs[0].settings.fleet_size
         self._rng = random.Random(seed)
         self._rate = rate * len(configs)
@@ -186,21 +189,21 @@
 
     def start(self) -> None:
         """Listen to discovery and the counter."""
-        for core in self.cores:
-            core.start()
+        for dispatcher in self.dispatchers:
+            dispatcher.start()
 
     def ready(self) -> int:
         """How many are."""
-        return sum(core.ready() for core in self.cores)
+        return sum(dispatcher.is_ready() for dispatcher in self.dispatchers)
 
     def behind(self, generation: int) -> int:
         """How many do not know the list of that generation yet."""
-        return sum(core.generation() < generation for core in self.cores)
+        return sum(dispatcher.generation() < generation for dispatcher in self.dispatchers)
 
     def stop(self) -> None:
         """Close everything."""
-        for core in self.cores:
-            core.stop()
+        for dispatcher in self.dispatchers:
+            dispatcher.stop()
 
     async def load(self, seconds: float) -> None:
         """Open-loop: arrivals come when they are due, whatever is still out; a late one counts from then."""
@@ -219,15 +222,15 @@
     def _arrive(self, due: float) -> None:
         self.asked += 1
         number = self.asked
-        i = min(bisect.bisect(self._shares, self._rng.random()), len(self.cores) - 1)
+        i = min(bisect.bisect(self._shares, self._rng.random()), len(self.dispatchers) - 1)
         who = bisect.bisect(self._asks, self._rng.random() * self._asks[-1])
         client = _Client(self, due)
         if self.stub:
-            client.answer(200)
+            client.respond(200)
             return
         units = float(self._rng.choice(configuration.UNITS))
         self.units_asked[who] = self.units_asked.get(who, 0.0) + units
-        order = Order(
+        order = InboundRequest(
             b"%x" % number,
             configuration.class_of(number),
             "team",
@@ -241,10 +244,10 @@
             HEAD,
             b"",
         )
-        self.cores[i].request(client, order)
+        self.dispatchers[i].submit(client, order)
 
     def answered(self, client: _Client, status: int) -> None:
         """One answer: what the gateway added is all but the host's own time."""
         if status == 200 and not self.stub:
             self.served += 1
-            self.added.record(time.monotonic() - client.due - ReckonedHosts.host_s)
+            self.added.record(time.monotonic() - client.due - SimulatedConnectionPool.host_s)
--- a/testbed/role.py
+++ b/testbed/role.py
@@ -19,7 +19,7 @@
 from testbed.clients import Clients
 from testbed.counter import Counts
 from testbed.discovery import Directory, Instance
-from testbed.hollow import HollowFleet, ReckonedHosts
+from testbed.hollow import HollowFleet, SimulatedConnectionPool
 from testbed.hosts import Hosts
 from testbed.http import serve
 
@@ -104,19 +104,19 @@
             case "load":
                 fleet.stub = command.get("stub", False)
                 asked, served = fleet.asked, fleet.served
-                dials = sum(core.connections()[1] for core in fleet.cores)
+                dials = sum(dispatcher.connections()[1] for dispatcher in fleet.dispatchers)
                 fleet.sent.clear()
                 fleet.units_asked.clear()
-                ReckonedHosts.load.clear()
+                SimulatedConnectionPool.load.clear()
                 await fleet.load(command["seconds"])
-                counts = [core.connections() for core in fleet.cores]
+                counts = [dispatcher.connections() for dispatcher in fleet.dispatchers]
                 return {
                     "asked": fleet.asked - asked,
                     "served": fleet.served - served,
                     "dials": sum(c[1] for c in counts) - dials,
                     "connections": sum(c[0] for c in counts),
                     "added": fleet.added.encode(),
-                    "load": dict(ReckonedHosts.load),
+                    "load": dict(SimulatedConnectionPool.load),
                     "sent": list(fleet.sent) if command.get("sent") else [],
                     "units_asked": fleet.units_asked if command.get("sent") else {},
                 }
--- a/tests/host_play.py
+++ b/tests/support/endpoint_simulation.py
@@ -10,11 +10,14 @@
 import math
 import random
 
-from conftest import OPEN, settings
-from event_play import EventPlay
-
-from api_gateway import interface as api
 from api_gateway.decisions.gateway import Gateway
+from api_gateway.model.actions import FailRequest, RejectRequest, StartAttempt, StartTimer
+from api_gateway.model.endpoints import Endpoint, UpdateKind
+from api_gateway.model.events import AttemptEnded, EndpointUpdate, Event, RequestReceived, TimerFired
+from api_gateway.model.results import AttemptResult
+from api_gateway.model.settings import Plan, RequestClass
+from support.event_simulation import EventSimulation
+from support.gateway_driver import OPEN, settings
 
 SIGMA = 0.7  # of the logarithm of lognormal work
 
@@ -23,11 +26,11 @@
 class Load:
     """Requests of one class: mean work in ms, and how many a second each gateway is asked."""
 
-    cls: api.RequestClass
+    cls: RequestClass
     work_ms: float
     rate: float
     shape: str = "lognormal"  # or "exponential", "fixed"
-    plan: api.Plan = OPEN
+    plan: Plan = OPEN
 
     def draw(self, rng: random.Random) -> float:
         """The work of one request, in ms."""
@@ -68,7 +71,7 @@
     attempts: int = 0
 
 
-class HostPlay(EventPlay):
+class EndpointSimulation(EventSimulation):
     """Gateways and hosts on one clock, which `times` stretches but for the gateways' own spacing."""
 
     def __init__(
@@ -93,14 +96,16 @@
             classes=tuple(load.cls for load in loads),
             plans=tuple(plans.values()),
             fleet_size=fleet_size or gateways,
-            may_count=False,
+            counter_enabled=False,
         )
-        self.gateways = [Gateway(dataclasses.replace(set_up, me=i), seed * 1000 + i) for i in range(gateways)]
-        servers = tuple(api.Server(name, "ab"[i % 2], i % 2) for i, name in enumerate(self.free))
+        self.gateways = [
+            Gateway(dataclasses.replace(set_up, gateway_index=i), seed * 1000 + i) for i in range(gateways)
+        ]
+        servers = tuple(Endpoint(name, "ab"[i % 2], i % 2) for i, name in enumerate(self.free))
         for i in range(gateways):
-            self._give(i, api.ServerList("kept", servers))
+            self._give(i, EndpointUpdate(UpdateKind.CACHED, servers))
 
-    def run(self, seconds: float, pace: float = 1.0) -> HostPlay:
+    def run(self, seconds: float, pace: float = 1.0) -> EndpointSimulation:
         """Open-loop load at `pace` times the loads' rates; then all tallies hold what it came to."""
         weights = [load.rate for load in self.loads]
         total = pace * sum(weights) * len(self.gateways) / 1000
@@ -124,35 +129,39 @@
         self.open[rid] = Asked(load, self.now, load.draw(self.rng))
         self.tallies[load.cls.name].asked += 1
         i = self.rng.randrange(len(self.gateways))
-        self._give(i, api.Request(rid, load.cls.name, load.plan.name, "c", load.cls.deadline_ms))
-
-    def _give(self, i: int, event: api.Event) -> None:
-        if isinstance(event, api.Outcome) and event.result == api.OK:
-            asked = self.open.pop(event.request)
-            self.tallies[asked.load.cls.name].served += self.now - asked.at <= asked.load.cls.aim_ms
+        self._give(i, RequestReceived(rid, load.cls.name, load.plan.name, "c", load.cls.deadline_ms))
+
+    def _give(self, i: int, event: Event) -> None:
+        if isinstance(event, AttemptEnded) and event.result == AttemptResult.OK:
+            asked = self.open.pop(event.request_id)
+            self.tallies[asked.load.cls.name].served += (
+                self.now - asked.at <= asked.load.cls.latency_objective_ms
+            )
         for act in self.gateways[i].handle(self.now, event):
             match act:
-                case api.Send():
+                case StartAttempt():
                     self._send(i, act)
-                case api.Timer():
-                    self._later(act.in_ms, i, api.TimerDue(act.name))
-                case api.Refuse():
-                    self.tallies[self.open.pop(act.request).load.cls.name].refused += 1
-                case api.Fail():
-                    self.tallies[self.open.pop(act.request).load.cls.name].failed += 1
-
-    def _send(self, i: int, act: api.Send) -> None:
-        asked = self.open[act.request]
+                case StartTimer():
+                    self._later(act.delay_ms, i, TimerFired(act.name))
+                case RejectRequest():
+                    self.tallies[self.open.pop(act.request_id).load.cls.name].refused += 1
+                case FailRequest():
+                    self.tallies[self.open.pop(act.request_id).load.cls.name].failed += 1
+
+    def _send(self, i: int, act: StartAttempt) -> None:
+        asked = self.open[act.request_id]
         self.sent.append((self.now, asked.work))
         took = asked.work
         if self.cores:
-            free = self.free[act.server]
+            free = self.free[act.endpoint]
             start = max(self.now, heapq.heappop(free))
             heapq.heappush(free, start + asked.work)
             took = start + asked.work - self.now
-        result = api.OK
+        result = AttemptResult.OK
         if took > act.timeout_ms:
-            result, took = api.TIMED_OUT, act.timeout_ms
-        outcome = api.Outcome(act.request, asked.attempts, act.server, result, took, result == api.OK)
+            result, took = AttemptResult.TIMED_OUT, act.timeout_ms
+        outcome = AttemptEnded(
+            act.request_id, asked.attempts, act.endpoint, result, took, result == AttemptResult.OK
+        )
         asked.attempts += 1
         self._later(took, i, outcome)
--- a/tests/event_play.py
+++ b/tests/support/event_simulation.py
@@ -7,24 +7,24 @@
 import random
 from collections.abc import Callable
 
-from api_gateway import interface as api
+from api_gateway.model.events import Event
 
 
-class EventPlay:
+class EventSimulation:
     """What plays share; each gives events to its gateways by `_give`. Times in ms."""
 
     def __init__(self, rng: random.Random, now_ms: float) -> None:
         self.rng = rng
         self.now = self.born = now_ms
-        self.queue: list[tuple[float, int, int, api.Event]] = []
+        self.queue: list[tuple[float, int, int, Event]] = []
         self.serial = 0
 
-    def _give(self, i: int, event: api.Event) -> None:
+    def _give(self, i: int, event: Event) -> None:
         raise NotImplementedError
 
-    def _later(self, in_ms: float, i: int, event: api.Event) -> None:
+    def _later(self, delay_ms: float, i: int, event: Event) -> None:
         self.serial += 1
-        heapq.heappush(self.queue, (self.now + in_ms, self.serial, i, event))
+        heapq.heappush(self.queue, (self.now + delay_ms, self.serial, i, event))
 
     def _arrivals(self, seconds: float, per_ms: float, ask: Callable[[], None]) -> None:
         """Ask `per_ms` times a ms in the mean, in chance moments that do not wait for answers."""
--- a/tests/test_acceptance_terms.py
+++ b/tests/test_acceptance_terms.py
@@ -16,114 +16,119 @@
 from pathlib import Path
 
 import pytest
-from conftest import (
-    GRADES,
-    KEYED,
-    LOOP,
-    PACKAGES,
-    Driver,
-    Fake,
-    Rig,
-    instance,
-    message,
-    of,
-    on_loop,
-    reply,
-    server,
-)
-from fleet_play import Play
+from support.fleet_simulation import FleetSimulation
+from support.gateway_driver import KEYED, GatewayDriver, actions_of_type, endpoint
+from support.http_fakes import CLASS_SETTINGS, LOOP, PLAN_SETTINGS, FakeServer, instance, message, reply
+from support.program import RunningProgram, run_scenario
 from test_net_parts import Answers, Held, an_order, core_with, dialling
 
-from api_gateway import interface as api
-from api_gateway.configuration import LEAST_SOCKETS, ConfigError, client_sockets, parse, upstream_sockets
-from api_gateway.network.discovery import ROUND_S, Discovery, Listing, parse_listing
-from api_gateway.network.dispatcher import Core
-from api_gateway.network.downstream.listener import Server
-from api_gateway.network.response_parser import Reply
-from api_gateway.network.upstream.pool import Hosts
+from api_gateway.configuration import (
+    LEAST_SOCKETS,
+    ConfigurationError,
+    client_sockets,
+    parse,
+    upstream_sockets,
+)
+from api_gateway.model.actions import FailRequest, RejectRequest, StartAttempt
+from api_gateway.model.endpoints import UpdateKind
+from api_gateway.model.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointUpdate,
+    RequestReceived,
+    TimerFired,
+)
+from api_gateway.model.results import AttemptResult
+from api_gateway.network.discovery import ROUND_S, DiscoveryWatch, EndpointList, parse_endpoint_list
+from api_gateway.network.dispatcher import Dispatcher
+from api_gateway.network.downstream.listener import Listener
+from api_gateway.network.response_parser import Response
+from api_gateway.network.upstream.pool import ConnectionPool
 
 # --- A repeat keeps its window (the rule on duplicates) ----------------------------------------------------
 
 
 def test_the_window_of_a_repeat_is_carried_by_the_send_and_runs_from_the_first_decision() -> None:
-    d = Driver()
+    d = GatewayDriver()
     rid, out = d.ask("put")
-    (first,) = of(out, api.Send)
-    assert first.write_by_ms == float("inf")  # nothing may have run yet
-    (again,) = of(d.end(rid, api.RESET, after=700), api.Send)
-    assert again.write_by_ms == KEYED.window_ms - 700 - 2 * d.gateway.s.tick_ms
+    (first,) = actions_of_type(out, StartAttempt)
+    assert first.write_timeout_ms == float("inf")  # nothing may have run yet
+    (again,) = actions_of_type(d.end(rid, AttemptResult.CONNECTION_RESET, after=700), StartAttempt)
+    assert again.write_timeout_ms == KEYED.idempotency_window_ms - 700 - 2 * d.gateway.s.clock_tick_ms
     # One that was proved never to have run does not start the window.
     rid, _ = d.ask("put")
-    (again,) = of(d.end(rid, api.CONNECT_FAILED, after=700), api.Send)
-    assert again.write_by_ms == float("inf")
+    (again,) = actions_of_type(d.end(rid, AttemptResult.CONNECT_FAILED, after=700), StartAttempt)
+    assert again.write_timeout_ms == float("inf")
 
 
 def test_a_dial_that_comes_up_after_the_window_writes_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     """The connection is up, its end not told: the write asks again. The timer that ends a dial is off."""
 
     async def scenario() -> None:
-        host = Fake(lambda seen: reply(b"served"))
-        monkeypatch.setattr(Hosts, "_watch_write", lambda self, attempt: None)
-        core, script, held, client = await dialling(monkeypatch, host, api.Fail, write_by_ms=60_000)
+        host = FakeServer(lambda seen: reply(b"served"))
+        monkeypatch.setattr(ConnectionPool, "_watch_write", lambda self, attempt: None)
+        dispatcher, script, held, client = await dialling(
+            monkeypatch, host, FailRequest, write_timeout_ms=60_000
+        )
         await host.until(lambda fake: fake.opened == 1)
-        (attempt,) = core._hosts._dialling
+        (attempt,) = dispatcher._hosts._dialling
         attempt.write_by = time.monotonic() - 0.001  # the window is over
         held.let_up.set()
         assert await client.got.get() == 502
-        assert script.outcomes() == [api.WITHDRAWN]
+        assert script.outcomes() == [AttemptResult.WITHDRAWN]
         await host.until(lambda fake: fake.closed == 1)
         assert not host.seen
         host.stop()
 
-    on_loop(scenario, 3)
+    run_scenario(scenario, 3)
 
 
 def test_a_dial_under_way_ends_with_the_window_and_its_request_is_answered_then(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
-        host = Fake(lambda seen: reply(b"served"))
-        core, script = await core_with(monkeypatch, host)
-        core._hosts._loop = Held(core._loop)  # never comes up
-        core._hosts._dial_s = 60.0
+        host = FakeServer(lambda seen: reply(b"served"))
+        dispatcher, script = await core_with(monkeypatch, host)
+        dispatcher._hosts._loop = Held(dispatcher._loop)  # never comes up
+        dispatcher._hosts._dial_s = 60.0
         client, began = Answers(), time.monotonic()
-        script.plan[api.Request] = [api.Send("r1", "s-0", 5000, write_by_ms=30)]
-        script.plan[api.Outcome] = [api.Fail("r1")]
-        core.request(client, an_order())
+        script.plan[RequestReceived] = [StartAttempt("r1", "s-0", 5000, write_timeout_ms=30)]
+        script.plan[AttemptEnded] = [FailRequest("r1")]
+        dispatcher.submit(client, an_order())
         assert await client.got.get() == 502
-        assert script.outcomes() == [api.WITHDRAWN] and time.monotonic() - began < 1
+        assert script.outcomes() == [AttemptResult.WITHDRAWN] and time.monotonic() - began < 1
         host.stop()
 
-    on_loop(scenario, 3)
+    run_scenario(scenario, 3)
 
 
 def test_a_window_that_is_over_at_the_send_writes_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        host = Fake(lambda seen: reply(b"served"))
-        core, script = await core_with(monkeypatch, host)
+        host = FakeServer(lambda seen: reply(b"served"))
+        dispatcher, script = await core_with(monkeypatch, host)
         client = Answers()
-        script.plan[api.Request] = [api.Send("r1", "s-0", 5000, write_by_ms=-1)]
-        core.request(client, an_order())
-        assert script.outcomes() == [api.WITHDRAWN] and not host.opened
+        script.plan[RequestReceived] = [StartAttempt("r1", "s-0", 5000, write_timeout_ms=-1)]
+        dispatcher.submit(client, an_order())
+        assert script.outcomes() == [AttemptResult.WITHDRAWN] and not host.opened
         host.stop()
 
-    on_loop(scenario, 3)
+    run_scenario(scenario, 3)
 
 
 async def half_written(
-    monkeypatch: pytest.MonkeyPatch, core: Core, script: object, client: Answers, **send: float
+    monkeypatch: pytest.MonkeyPatch, dispatcher: Dispatcher, script: object, client: Answers, **send: float
 ) -> str:
     """A request whose attempt stands in our buffer, since its host reads nothing."""
     order = an_order()
     order.body = b"x" * 16_000_000
-    script.plan[api.Request] = [api.Send("r1", "s-0", 5000, **send)]
-    rid = core.request(client, order)
-    while not any(c.unsent for c in core._hosts._connections):
+    script.plan[RequestReceived] = [StartAttempt("r1", "s-0", 5000, **send)]
+    rid = dispatcher.submit(client, order)
+    while not any(c.unsent for c in dispatcher._hosts._connections):
         await asyncio.sleep(0)
     return rid
 
 
-class Deaf(Fake):
+class Deaf(FakeServer):
     """A host that accepts and reads nothing until it is told to."""
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -141,64 +146,64 @@
 
     async def scenario() -> None:
         host = Deaf(lambda seen: None)
-        core, script = await core_with(monkeypatch, host)
+        dispatcher, script = await core_with(monkeypatch, host)
         client = Answers()
         rid = await half_written(
-            monkeypatch, core, script, client, write_by_ms=50 if how == "window" else float("inf")
+            monkeypatch, dispatcher, script, client, write_timeout_ms=50 if how == "window" else float("inf")
         )
         if how == "left":
-            core.left(rid)
+            dispatcher.client_disconnected(rid)
         elif how == "answered":
-            script.plan[api.TimerDue] = [api.Fail(rid)]
-            core._post(api.TimerDue("x"))
+            script.plan[TimerFired] = [FailRequest(rid)]
+            dispatcher._post(TimerFired("x"))
         while not script.outcomes():
             await asyncio.sleep(0)
-        assert script.outcomes() == [api.WITHDRAWN]
-        while core._hosts._connections:  # ended, with what it still held
+        assert script.outcomes() == [AttemptResult.WITHDRAWN]
+        while dispatcher._hosts._connections:  # ended, with what it still held
             await asyncio.sleep(0)
         host.stop()
 
-    on_loop(scenario, 3)  # before the guard would end it
+    run_scenario(scenario, 3)  # before the guard would end it
 
 
 def test_the_time_told_to_a_host_is_what_is_left_at_the_write(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        host = Fake(lambda seen: reply(b"served"))
-        core, script = await core_with(monkeypatch, host)
-        core._hosts._loop = held = Held(core._loop)
-        script.plan[api.Request] = [api.Send("r1", "s-0", 2000)]
+        host = FakeServer(lambda seen: reply(b"served"))
+        dispatcher, script = await core_with(monkeypatch, host)
+        dispatcher._hosts._loop = held = Held(dispatcher._loop)
+        script.plan[RequestReceived] = [StartAttempt("r1", "s-0", 2000)]
         client = Answers()
-        core.request(client, an_order())
-        (attempt,) = core._hosts._dialling
+        dispatcher.submit(client, an_order())
+        (attempt,) = dispatcher._hosts._dialling
         attempt.until, attempt.sent_at = attempt.until - 1.5, attempt.sent_at - 1.5  # a slow dial
         held.let_up.set()
         assert await client.got.get() == 200
         assert int(host.seen[0].headers["x-deadline"].removesuffix("m")) <= 500
         host.stop()
 
-    on_loop(scenario, 3)
+    run_scenario(scenario, 3)
 
 
 def test_a_dial_begun_for_the_process_before_writes_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     """Same id, same address, a later start: its budget is a cold one's, and the module has to decide anew."""
 
     async def scenario() -> None:
-        host = Fake(lambda seen: reply(b"served"))
-        core, script, _, client = await dialling(monkeypatch, host)
+        host = FakeServer(lambda seen: reply(b"served"))
+        dispatcher, script, _, client = await dialling(monkeypatch, host)
         await host.until(lambda fake: fake.opened == 1)
         anew = {**instance("s-0", host.port), "startedAtMs": 1e12}
-        core._listed(parse_listing({"generation": 2, "reset": False, "instances": [anew]}))
-        assert client.got.get_nowait() == 503 and script.outcomes() == [api.WITHDRAWN]
+        dispatcher._listed(parse_endpoint_list({"generation": 2, "reset": False, "instances": [anew]}))
+        assert client.got.get_nowait() == 503 and script.outcomes() == [AttemptResult.WITHDRAWN]
         host.stop()
 
-    on_loop(scenario, 3)
+    run_scenario(scenario, 3)
 
 
 def test_what_an_earlier_start_left_of_its_budget_is_not_the_next_ones() -> None:
-    d = Driver()
+    d = GatewayDriver()
     host = d.gateway.hosts["h0"]
     host.credit = 5.0
-    d.give(api.ServerList("changes", (server(0, up_since_ms=d.now),)))
+    d.give(EndpointUpdate(UpdateKind.CHANGES, (endpoint(0, started_at_ms=d.now),)))
     assert host.credit == 0
 
 
@@ -280,7 +285,7 @@
         self.reached: float | None = None
         self.told: float | None = None
         self.begins: list[float] = []
-        self.it = Discovery(self, ("127.0.0.1", 1), self._heard, luck, 7, spread_s)
+        self.it = DiscoveryWatch(self, ("127.0.0.1", 1), self._heard, luck, 7, spread_s)
         self.it.start()
 
     def time(self) -> float:
@@ -330,9 +335,9 @@
     def _answer(self, line: Line, status: int, generation: int) -> None:
         if not line.closed:
             body = json.dumps({"generation": generation, "reset": False, "instances": []}).encode()
-            self.it.replied(line, Reply(status, {}, body, True), True)
+            self.it.replied(line, Response(status, {}, body, True), True)
 
-    def _heard(self, listing: Listing) -> None:
+    def _heard(self, listing: EndpointList) -> None:
         if listing.generation == 9 and self.told is None:
             self.told = self.now
 
@@ -395,10 +400,10 @@
     What a test does between two awaits gives the loop no turn: a client's end is in the kernel, and unread.
     """
 
-    def __init__(self, core: Core, script: object, host: Fake) -> None:
-        self.core, self.script, self.host = core, script, host
-        self.server = Server(core, asyncio.get_running_loop(), 1024)
-        self.address = self.server.start((LOOP, 0))
+    def __init__(self, dispatcher: Dispatcher, script: object, host: FakeServer) -> None:
+        self.dispatcher, self.script, self.host = dispatcher, script, host
+        self.endpoint = Listener(dispatcher, asyncio.get_running_loop(), 1024)
+        self.address = self.endpoint.start((LOOP, 0))
 
     def client(self, *sent: bytes) -> socket.socket:
         client = socket.create_connection(self.address)
@@ -408,9 +413,9 @@
 
     async def asked(self, count: int = 1) -> str:
         """The id of the request that came last, once so many have."""
-        while len(asked := [e for e in self.script.events if isinstance(e, api.Request)]) < count:
+        while len(asked := [e for e in self.script.events if isinstance(e, RequestReceived)]) < count:
             await asyncio.sleep(0)
-        return asked[-1].id
+        return asked[-1].request_id
 
     async def nothing_more(self, begun: int) -> None:
         """Nothing is begun at the host, however long the loop runs on: each of its steps is taken."""
@@ -438,12 +443,14 @@
     """Its end is in the kernel and nobody has read it when the module sends: nothing may be written."""
 
     async def scenario() -> None:
-        host = Fake(lambda seen: b"" if way == "after a reset" else None)
-        core, script = await core_with(monkeypatch, host)
-        front = Front(core, script, host)
+        host = FakeServer(lambda seen: b"" if way == "after a reset" else None)
+        dispatcher, script = await core_with(monkeypatch, host)
+        front = Front(dispatcher, script, host)
         begun = 0
         if way in ("after a reset", "after a time-out", "after a kept connection ended"):
-            script.plan[api.Request] = [api.Send("r1", "s-0", 30 if way == "after a time-out" else 5000)]
+            script.plan[RequestReceived] = [
+                StartAttempt("r1", "s-0", 30 if way == "after a time-out" else 5000)
+            ]
         client = front.client(ONE)
         rid = await front.asked()
         if way in ("after a reset", "after a time-out", "after a kept connection ended"):
@@ -455,39 +462,42 @@
         client.close()
         if begun:
             # The outcome and the client's end lie unread together, and the outcome is handled first.
-            attempt = core._requests[rid].attempts[0]
-            core._hosts._abandon(attempt)
-            script.plan[api.Outcome] = [api.Send(rid, "s-0", 5000)]
-            core._hosts._end(attempt, api.TIMED_OUT if way == "after a time-out" else api.RESET)
+            attempt = dispatcher._requests[rid].attempts[0]
+            dispatcher._hosts._abandon(attempt)
+            script.plan[AttemptEnded] = [StartAttempt(rid, "s-0", 5000)]
+            dispatcher._hosts._end(
+                attempt,
+                AttemptResult.TIMED_OUT if way == "after a time-out" else AttemptResult.CONNECTION_RESET,
+            )
         else:
-            script.plan[api.TimerDue] = [api.Send(rid, "s-0", 5000)]
-            core._post(api.TimerDue("x"))
-        assert script.outcomes()[-1] == api.MOOT and api.ClientLeft(rid) in script.events
+            script.plan[TimerFired] = [StartAttempt(rid, "s-0", 5000)]
+            dispatcher._post(TimerFired("x"))
+        assert script.outcomes()[-1] == AttemptResult.NOT_STARTED and ClientDisconnected(rid) in script.events
         await front.nothing_more(begun)
-        assert not core._requests
+        assert not dispatcher._requests
         host.stop()
 
-    on_loop(scenario, 5)
+    run_scenario(scenario, 5)
 
 
 def test_a_pipelined_request_is_not_sent_on_for_who_has_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     """The answer to the first one and the client's end cross: the second one begins nothing."""
 
     async def scenario() -> None:
-        host = Fake(lambda seen: None)
-        core, script = await core_with(monkeypatch, host)
-        front = Front(core, script, host)
+        host = FakeServer(lambda seen: None)
+        dispatcher, script = await core_with(monkeypatch, host)
+        front = Front(dispatcher, script, host)
         client = front.client(ONE + TWO)
         rid = await front.asked()
         client.close()
-        script.plan[api.Request] = [api.Send("r2", "s-0", 5000)]
-        script.plan[api.TimerDue] = [api.Refuse(rid)]  # answered, so the second one is taken, in one turn
-        core._post(api.TimerDue("x"))
+        script.plan[RequestReceived] = [StartAttempt("r2", "s-0", 5000)]
+        script.plan[TimerFired] = [RejectRequest(rid)]  # answered, so the second one is taken, in one turn
+        dispatcher._post(TimerFired("x"))
         await front.nothing_more(0)
-        assert api.OK not in script.outcomes() and not core._requests
+        assert AttemptResult.OK not in script.outcomes() and not dispatcher._requests
         host.stop()
 
-    on_loop(scenario, 5)
+    run_scenario(scenario, 5)
 
 
 def test_a_dial_is_called_off_with_its_client(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -495,11 +505,11 @@
     for read in (True, False):
 
         async def scenario(read: bool = read) -> None:
-            host = Fake(lambda seen: None)
-            core, script = await core_with(monkeypatch, host)
-            core._hosts._loop = held = Held(core._loop)
-            front = Front(core, script, host)
-            script.plan[api.Request] = [api.Send("r1", "s-0", 5000)]
+            host = FakeServer(lambda seen: None)
+            dispatcher, script = await core_with(monkeypatch, host)
+            dispatcher._hosts._loop = held = Held(dispatcher._loop)
+            front = Front(dispatcher, script, host)
+            script.plan[RequestReceived] = [StartAttempt("r1", "s-0", 5000)]
             client = front.client(ONE)
             await front.asked()
             await host.until(lambda fake: fake.opened == 1)
@@ -507,10 +517,12 @@
                 held.let_up.set()  # its end is told in the next turn
             client.close()
             await host.until(lambda fake: fake.closed == 1)
-            assert script.outcomes() == [api.WITHDRAWN] and not host.seen and not core._requests
+            assert (
+                script.outcomes() == [AttemptResult.WITHDRAWN] and not host.seen and not dispatcher._requests
+            )
             host.stop()
 
-        on_loop(scenario, 5)
+        run_scenario(scenario, 5)
 
 
 # --- Idle clients may fill the descriptors while discovery is down -----------------------------------------
@@ -521,7 +533,7 @@
     """The real program at the system's own limit: discovery, the counter and the hosts find a descriptor."""
 
     async def scenario() -> None:
-        async with Rig(tmp_path, lambda seen: reply(b"served"), sockets=sockets) as rig:
+        async with RunningProgram(tmp_path, lambda seen: reply(b"served"), sockets=sockets) as rig:
             folder = f"/proc/{rig.process.pid}/fd"
             # Discovery and the counter go down, and clients come that hold their connections and say nothing.
             rig.directory.fake.stop()
@@ -555,7 +567,7 @@
             # Back at the same addresses: the dials must find descriptors though clients still hold theirs.
             for fake in (rig.directory.fake, rig.counter):
                 opened = fake.opened
-                fake.server = await asyncio.start_server(fake._serve, LOOP, fake.port)
+                fake.endpoint = await asyncio.start_server(fake._serve, LOOP, fake.port)
                 await fake.until(lambda fake, opened=opened: fake.opened > opened)
                 while len(os.listdir(folder)) < full + 10:  # and are as many again
                     await asyncio.sleep(0.01)
@@ -564,7 +576,7 @@
             for task in idle:
                 task.cancel()
 
-    on_loop(scenario, 30)
+    run_scenario(scenario, 30)
 
 
 def test_every_share_of_the_descriptors_at_once_stays_under_the_least_limit(tmp_path: Path) -> None:
@@ -572,7 +584,7 @@
     to the counter and to discovery twice while it moves them, and one client is being accepted."""
 
     async def scenario() -> None:
-        async with Rig(tmp_path, lambda seen: reply(b"served"), sockets=LEAST_SOCKETS) as rig:
+        async with RunningProgram(tmp_path, lambda seen: reply(b"served"), sockets=LEAST_SOCKETS) as rig:
             await rig.counter.until(lambda fake: fake.opened == 4)
             own = LEAST_SOCKETS
             for _ in range(30):  # until the connection that asked whether it is ready is gone
@@ -581,18 +593,18 @@
             for sockets in (LEAST_SOCKETS, 200, 256, 576, 1024):
                 assert client_sockets(sockets) + upstream_sockets(sockets) + own + (4 + 1) + 1 <= sockets
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 def test_a_system_limit_under_the_least_is_told_in_a_plain_line(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(resource, "getrlimit", lambda which: (64, 64))
-    with pytest.raises(ConfigError, match="the system allows 64 descriptors, 128 are needed"):
+    with pytest.raises(ConfigurationError, match="the system allows 64 descriptors, 128 are needed"):
         parse(
             {
                 "listen": f"{LOOP}:1",
                 "discovery": f"{LOOP}:2",
                 "seed": "1",
-                "settings": {"grades": GRADES, "packages": PACKAGES},
+                "settings": {"grades": CLASS_SETTINGS, "packages": PLAN_SETTINGS},
             }
         )
 
@@ -608,7 +620,7 @@
     """From the exec on, with the list it was configured with: its own waits count, not discovery's."""
 
     async def scenario() -> None:
-        async with Rig(tmp_path, lambda seen: reply(b"served"), asked=asked, fleet=200) as rig:
+        async with RunningProgram(tmp_path, lambda seen: reply(b"served"), asked=asked, fleet=200) as rig:
             rig.known = {"generation": 1, "reset": True, "instances": rig.directory.instances}
             rig.process.kill()
             await rig.process.wait()
@@ -621,7 +633,7 @@
             assert time.monotonic() - began < READY_S
             assert await rig.status(message(rid=b"restarted")) == 200
 
-    on_loop(scenario, 30)
+    run_scenario(scenario, 30)
 
 
 # --- Cold hosts fall under the sum of what all processes send ----------------------------------------------
@@ -646,7 +658,7 @@
     gateways: int, hosts: int, part: float, fresh: str, multiple: float, cold_s: float, rate: float
 ) -> None:
     """A tight and a wide multiple, a short and a long ramp, thin and thick traffic, uneven over gateways."""
-    play = Play(
+    play = FleetSimulation(
         gateways=gateways,
         hosts=hosts,
         rate=rate,
@@ -657,7 +669,7 @@
     )
     if fresh != "all":
         play.run(4)
-    born = play.replace(list(play.servers)[: round(part * hosts)])
+    born = play.replace(list(play.endpoints)[: round(part * hosts)])
     if fresh == "half":
         for i in range(0, gateways, 2):
             play.restart(i)
@@ -670,9 +682,9 @@
 def test_the_fleet_does_not_run_onto_the_hosts_that_become_warm() -> None:
     """Five of fifty become warm in one moment: what all sent to them while cold makes no favourite."""
     for seed in (1, 2, 3):
-        play = Play(rate=15, multiple=2.5, cold_s=5, seed=seed)
+        play = FleetSimulation(rate=15, multiple=2.5, cold_s=5, seed=seed)
         play.run(6)
-        born = play.replace(list(play.servers)[:5])
+        born = play.replace(list(play.endpoints)[:5])
         warm_at = play.now + 5000
         play.run(9)
         each = play.per_host(warm_at, warm_at + 2000)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 import pytest
-from conftest import GRADES, PACKAGES
+from support.http_fakes import CLASS_SETTINGS, PLAN_SETTINGS
 
 from api_gateway import configuration
 from api_gateway.network.discovery import (
@@ -16,11 +16,11 @@
     PROGRESS_S,
     ROUND_S,
     WHOLE_S,
-    Discovery,
-    Listing,
+    DiscoveryWatch,
+    EndpointList,
 )
 from api_gateway.network.dispatcher import list_spread_s
-from api_gateway.network.response_parser import Reply
+from api_gateway.network.response_parser import Response
 
 
 class Timer:
@@ -93,17 +93,17 @@
         timer.then()
         return waited
 
-    def up(self, watch: Discovery) -> Connection:
+    def up(self, watch: DiscoveryWatch) -> Connection:
         dial = self.dials[-1]
         dial.then(dial)
         return dial.connection
 
 
-def reply(status: int, body: bytes = b"") -> Reply:
-    return Reply(status, {}, body, True)
+def reply(status: int, body: bytes = b"") -> Response:
+    return Response(status, {}, body, True)
 
 
-def turned_away(loop: Loop, watch: Discovery) -> float:
+def turned_away(loop: Loop, watch: DiscoveryWatch) -> float:
     """One call that is answered 503; how long the watch then rests."""
     connection = loop.up(watch)
     watch.replied(connection, reply(503), True)
@@ -113,9 +113,9 @@
 
 
 def watch(
-    loop: Loop, seed: int, told: list[Listing], known: int | None = 7, spread_s: float = 8.0
-) -> Discovery:
-    return Discovery(loop, ("127.0.0.1", 1), told.append, random.Random(seed), known, spread_s)
+    loop: Loop, seed: int, told: list[EndpointList], known: int | None = 7, spread_s: float = 8.0
+) -> DiscoveryWatch:
+    return DiscoveryWatch(loop, ("127.0.0.1", 1), told.append, random.Random(seed), known, spread_s)
 
 
 def test_a_fleet_that_starts_at_once_asks_spread_over_the_time_its_calls_take() -> None:
@@ -184,7 +184,7 @@
     assert loop.up(it).asked == ["/v1/endpoints"] and not told
 
 
-def answered(it: Discovery, connection: Connection) -> None:
+def answered(it: DiscoveryWatch, connection: Connection) -> None:
     it.replied(connection, reply(200, b'{"generation":9,"reset":false,"instances":[]}'), True)
 
 
@@ -242,11 +242,11 @@
 
 
 @pytest.mark.parametrize(
-    ("size", "must_ask", "spread_s"),
+    ("size", "discovery_by_polling", "spread_s"),
     [(40, True, ROUND_S), (3, True, 0.6), (40, False, 0.0), (670, True, ROUND_S)],
 )
 def test_the_spread_follows_the_fleets_size_and_the_time_to_ask(
-    size: int, must_ask: bool, spread_s: float
+    size: int, discovery_by_polling: bool, spread_s: float
 ) -> None:
     raw = {
         "name": "n0",
@@ -254,15 +254,15 @@
         "discovery": "127.0.0.1:2",
         "seed": "8c1f",
         "settings": {
-            "grades": GRADES,
-            "packages": PACKAGES,
+            "grades": CLASS_SETTINGS,
+            "packages": PLAN_SETTINGS,
             "fleet_size": size,
             "me": 0,
             "rules": {"must_ask_in_ms": 10000.0},
         },
     }
     config = configuration.parse(raw)
-    settings = dataclasses.replace(config.settings, must_ask=must_ask)
+    settings = dataclasses.replace(config.settings, discovery_by_polling=discovery_by_polling)
     assert list_spread_s(dataclasses.replace(config, settings=settings)) == pytest.approx(spread_s)
 
 
