--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -11,37 +11,38 @@
 from pathlib import Path
 
 import pytest
-from conftest import (
+from support.http_fakes import (
     LOOP,
     ROOT,
-    Rig,
-    Seen,
-    adding,
+    ReceivedMessage,
+    counter_response,
     instance,
     message,
-    on_loop,
     read_message,
     reply,
 )
+from support.program import RunningProgram, run_scenario
 
 from api_gateway.network.upstream.pool import REST_S
 
 
-def serve(seen: Seen) -> bytes:
+def serve(seen: ReceivedMessage) -> bytes:
     return reply(b"served")
 
 
-def silent(seen: Seen) -> None:
+def silent(seen: ReceivedMessage) -> None:
     return None
 
 
-def reset(seen: Seen) -> bytes:
+def reset(seen: ReceivedMessage) -> bytes:
     return b""
 
 
 def test_serves_and_passes_on_unchanged(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, lambda seen: reply(b"\0body", headers=b"Billed-Units: 5\r\n")) as rig:
+        async with RunningProgram(
+            tmp_path, lambda seen: reply(b"\0body", headers=b"Billed-Units: 5\r\n")
+        ) as rig:
             answer = await rig.ask(message("put", body=b"x" * 3000, target="/api/v2/00000000b4d65521?a=1"))
             assert (answer.line.split()[1], answer.body) == ("200", b"\0body")
             (seen,) = rig.hosts[0].seen
@@ -53,32 +54,32 @@
             # The units of the guess, then what the answer billed beyond it, reach the counter.
             await rig.counter.until(lambda fake: sum(rig.totals.values()) >= 2)
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 def test_answers_keep_their_order_on_one_connection(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, lambda seen: reply(seen.headers["x-request-id"].encode())) as rig:
+        async with RunningProgram(tmp_path, lambda seen: reply(seen.headers["x-request-id"].encode())) as rig:
             reader, writer = await rig.connect()
             writer.write(b"".join(message(rid=b"id-%d" % i) for i in range(5)))
             bodies = [(await read_message(reader, writer)).body for _ in range(5)]
             assert bodies == [b"id-%d" % i for i in range(5)]
             assert len(rig.hosts[0].seen) == 5
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 def test_a_refusal_comes_at_once_with_advice(tmp_path: Path) -> None:
     """What the module gives up on is not held: other answers on the way to it do not matter."""
 
     async def scenario() -> None:
-        async with Rig(tmp_path, serve) as rig:
+        async with RunningProgram(tmp_path, serve) as rig:
             answers = [await rig.ask(message(plan="small", rid=b"id-%d" % i)) for i in range(6)]
             refused = [a for a in answers if a.line.split()[1] == "503"]
             assert refused and len(rig.hosts[0].seen) == len(answers) - len(refused)
             assert all(0 < float(a.headers["retry-after"]) <= 1 for a in refused)
 
-    on_loop(scenario, 5)  # six that were held to near their deadlines of 6 s would take longer
+    run_scenario(scenario, 5)  # six that were held to near their deadlines of 6 s would take longer
 
 
 BAD = [
@@ -127,19 +128,19 @@
 
 def test_bad_input_reaches_no_host(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, serve) as rig:
+        async with RunningProgram(tmp_path, serve) as rig:
             for data, status in BAD:
                 assert await rig.status(data) == status, data[:200]
             assert not rig.hosts[0].seen
             assert await rig.status(message("put", body=b"x" * 64 * 1024)) == 200  # the largest allowed
             assert rig.process.returncode is None
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 def test_bad_input_behind_an_open_request_waits_for_its_answer(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, silent) as rig:
+        async with RunningProgram(tmp_path, silent) as rig:
             reader, writer = await rig.connect()
             writer.write(message() + b"nonsense\r\n\r\n")
             await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
@@ -148,18 +149,18 @@
             assert (await read_message(reader, writer)).line.split()[1] == "400"
             assert await reader.read() == b""
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(("cls", "status", "attempts"), [("read", 200, 2), ("put", 200, 2), ("pay", 502, 1)])
 def test_reset_after_the_last_byte_may_have_run(tmp_path: Path, cls: str, status: int, attempts: int) -> None:
     async def scenario() -> None:
         answers = iter((b"", reply(b"served")))
-        async with Rig(tmp_path, lambda _: next(answers), lambda _: next(answers)) as rig:
+        async with RunningProgram(tmp_path, lambda _: next(answers), lambda _: next(answers)) as rig:
             assert await rig.status(message(cls)) == status
             assert sum(len(host.seen) for host in rig.hosts) == attempts
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -181,7 +182,7 @@
     async def scenario() -> None:
         answers = iter((answer, reply(b"served")))
 
-        def behave(seen: Seen) -> bytes:
+        def behave(seen: ReceivedMessage) -> bytes:
             data = next(answers)
             if data.endswith(b"half"):
                 seen.writer.write(data)
@@ -189,27 +190,27 @@
                 return None
             return data
 
-        async with Rig(tmp_path, behave) as rig:
+        async with RunningProgram(tmp_path, behave) as rig:
             assert await rig.status(message("pay")) == status
             assert len(rig.hosts[0].seen) == attempts
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 def test_a_refused_connection_never_ran(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, serve, serve) as rig:
+        async with RunningProgram(tmp_path, serve, serve) as rig:
             rig.hosts[0].stop()  # its port refuses from now on
             for i in range(8):
                 assert await rig.status(message("pay", rid=b"id-%d" % i)) == 200
             assert len(rig.hosts[1].seen) == 8
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 def test_silence_is_failed_in_time_and_its_connection_not_used_again(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(
+        async with RunningProgram(
             tmp_path, lambda seen: None if seen.headers["x-request-id"] == "quiet" else serve(seen)
         ) as rig:
             assert await rig.status(message("pay", rid=b"quiet", deadline="400m")) in (502, 504)
@@ -217,12 +218,12 @@
             assert await rig.status(message(rid=b"next")) == 200
             assert [s.headers["x-request-id"] for s in rig.hosts[0].seen] == ["quiet", "next"]
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 def test_a_client_that_closes_has_its_work_dropped(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, silent) as rig:
+        async with RunningProgram(tmp_path, silent) as rig:
             _, writer = await rig.connect()
             writer.write(message("put"))
             await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
@@ -230,14 +231,14 @@
             await rig.hosts[0].until(lambda fake: fake.closed == 1)
             assert len(rig.hosts[0].seen) == 1
 
-    on_loop(scenario, 4)  # before the attempt's own time-out would close it
+    run_scenario(scenario, 4)  # before the attempt's own time-out would close it
 
 
 def test_a_request_behind_another_is_not_sent_on_once_its_client_has_left(tmp_path: Path) -> None:
     """While requests wait on a connection we read no further, and its end lies behind them."""
 
     async def scenario() -> None:
-        async with Rig(tmp_path, silent) as rig:
+        async with RunningProgram(tmp_path, silent) as rig:
             loop, client = asyncio.get_running_loop(), socket.create_connection((LOOP, rig.port))
             client.setblocking(False)
             with client:
@@ -254,12 +255,12 @@
             assert (await rig.ask(message(rid=b"last"))).body == b"served"
             assert [s.headers["x-request-id"] for s in rig.hosts[0].seen] == ["first", "last"]
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 def test_kept_connections_are_used_again(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, serve) as rig:
+        async with RunningProgram(tmp_path, serve) as rig:
             reader, writer = await rig.connect()
             for i in range(5):
                 writer.write(message(rid=b"id-%d" % i))
@@ -267,14 +268,14 @@
                 await asyncio.sleep(5 * REST_S)
             assert len({id(s.writer) for s in rig.hosts[0].seen}) == 1
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 def test_an_answer_read_after_a_stall_beats_its_time_out(tmp_path: Path) -> None:
     """Our own stall must not turn an answer that came in time into a time-out."""
 
     async def scenario() -> None:
-        async with Rig(tmp_path, silent) as rig:
+        async with RunningProgram(tmp_path, silent) as rig:
             asked = asyncio.create_task(rig.status(message("pay")))
             await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
             rig.process.send_signal(signal.SIGSTOP)
@@ -284,12 +285,12 @@
             rig.process.send_signal(signal.SIGCONT)
             assert await asked == 200
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 def test_sigterm_accepts_a_little_longer_finishes_and_exits(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, silent) as rig:
+        async with RunningProgram(tmp_path, silent) as rig:
             first = asyncio.create_task(rig.ask(message(rid=b"first")))
             await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
             idle_reader, _ = await rig.connect()
@@ -307,12 +308,12 @@
                 assert answer.headers["connection"] == "close"
             assert await rig.process.wait() == 0
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 def test_sigterm_answers_what_cannot_finish_and_exits_before_sigkill(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, silent) as rig:
+        async with RunningProgram(tmp_path, silent) as rig:
             asked = asyncio.create_task(rig.status(message("put", deadline="60000m")))
             await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
             rig.process.send_signal(signal.SIGTERM)
@@ -320,12 +321,12 @@
             async with asyncio.timeout(3.7):
                 assert await rig.process.wait() == 0
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 def test_sigkill_and_restart_on_the_same_port(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, serve) as rig:
+        async with RunningProgram(tmp_path, serve) as rig:
             assert await rig.status(message()) == 200
             reader, _ = await rig.connect()
             rig.process.kill()
@@ -335,14 +336,14 @@
             await rig.launch()
             assert await rig.status(message(rid=b"after")) == 200
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 def test_who_only_holds_a_connection_gives_way_to_who_asks(tmp_path: Path) -> None:
     """Silent, half-sent and asked-once connections must not take the descriptors from a client that asks."""
 
     async def scenario() -> None:
-        async with Rig(tmp_path, silent, sockets=128) as rig:
+        async with RunningProgram(tmp_path, silent, sockets=128) as rig:
             reader, writer = await rig.connect()
             writer.write(message(rid=b"open"))
             await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
@@ -358,14 +359,14 @@
             assert (await read_message(reader, writer)).body == b"served"
             assert rig.process.returncode is None
 
-    on_loop(scenario, 10)
+    run_scenario(scenario, 10)
 
 
 def test_a_connection_not_heard_yet_outlasts_those_that_had_their_answer(tmp_path: Path) -> None:
     """Closed, it would lose its first request; the client of a kept one asks again on another."""
 
     async def scenario() -> None:
-        async with Rig(tmp_path, serve, sockets=128) as rig:
+        async with RunningProgram(tmp_path, serve, sockets=128) as rig:
             reader, writer = await rig.connect()
             crowd = []
             for _ in range(150):
@@ -375,7 +376,7 @@
             writer.write(message())
             assert (await read_message(reader, writer)).body == b"served"
 
-    on_loop(scenario, 10)
+    run_scenario(scenario, 10)
 
 
 @pytest.mark.parametrize(
@@ -391,7 +392,7 @@
     tmp_path: Path, sent: bytes, status: bytes | None
 ) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, serve) as rig:
+        async with RunningProgram(tmp_path, serve) as rig:
             reader, writer = await rig.connect()
             writer.write(sent)
             async with asyncio.timeout(3):  # an error or a close is owed by then
@@ -399,14 +400,14 @@
             assert answer == b"" if status is None else b"HTTP/1.1 " + status in answer
             assert not rig.hosts[0].seen
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 def test_an_id_in_use_is_not_sent_on_twice(tmp_path: Path) -> None:
     """Hosts know a request by its id: another client's copy of an open one would be its second run."""
 
     async def scenario() -> None:
-        async with Rig(tmp_path, silent) as rig:
+        async with RunningProgram(tmp_path, silent) as rig:
             asked = asyncio.create_task(rig.ask(message("put")))
             await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
             assert await rig.status(message("put", customer="0000000000000001")) == 409
@@ -416,7 +417,7 @@
             rig.hosts[0].behave = serve
             assert await rig.status(message("put")) == 200  # it is no longer in use
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 HIDDEN = b"0\r\n\r\n" + message(rid=b"hidden")
@@ -438,21 +439,21 @@
 )
 def test_framing_that_can_be_read_in_two_ways_hides_nothing(tmp_path: Path, lines: str) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, serve) as rig:
+        async with RunningProgram(tmp_path, serve) as rig:
             reader, writer = await rig.connect()
             more = lines.replace("%d", str(len(HIDDEN)))
             writer.write(message("put", method="POST", drop="Content-Length", more=more) + HIDDEN)
             assert b"HTTP/1.1 400" in (await reader.read())
             assert b"hidden" not in [s.headers["x-request-id"].encode() for s in rig.hosts[0].seen]
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 def test_a_rejected_request_is_the_last_on_its_connection(tmp_path: Path) -> None:
     """Guards the CPU: a flood has to connect again for each bad request, and what follows is not read."""
 
     async def scenario() -> None:
-        async with Rig(tmp_path, serve) as rig:
+        async with RunningProgram(tmp_path, serve) as rig:
             reader, writer = await rig.connect()
             writer.write(message("nope") + message())
             answer = await read_message(reader, writer)
@@ -460,19 +461,19 @@
             assert await reader.read() == b""
             assert not rig.hosts[0].seen
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 def test_hundreds_of_requests_at_once_are_not_kept(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, serve) as rig:
+        async with RunningProgram(tmp_path, serve) as rig:
             reader, writer = await rig.connect()
             writer.write(b"".join(message(rid=b"id-%d" % i) for i in range(300)))
             answers = await reader.read()
             assert answers.endswith(b"Connection: close\r\n\r\n") and b"HTTP/1.1 400" in answers
             assert len(rig.hosts[0].seen) == answers.count(b"HTTP/1.1 200") < 20
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -486,7 +487,7 @@
     """413 at once, whatever is still being sent; what is not read in the end is cut off."""
 
     async def scenario() -> None:
-        async with Rig(tmp_path, serve) as rig:
+        async with RunningProgram(tmp_path, serve) as rig:
             reader, writer = await rig.connect()
             writer.write(head + b"x" * 100_000)
             assert (await read_message(reader, writer)).line.split()[1] == "413"
@@ -496,12 +497,12 @@
                     await writer.drain()
             assert await rig.status(message()) == 200
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 def test_a_draining_host_gets_nothing_new_and_a_whole_list_replaces(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, serve, serve) as rig:
+        async with RunningProgram(tmp_path, serve, serve) as rig:
             await rig.directory.tell([instance("s-0", rig.hosts[0].port, "draining")])
             for i in range(6):
                 assert await rig.status(message(rid=b"id-%d" % i)) == 200
@@ -512,13 +513,13 @@
                 assert await rig.status(message(rid=b"more-%d" % i)) == 200
             assert (len(rig.hosts[0].seen), len(rig.hosts[1].seen)) == (6, 6)
 
-    on_loop(scenario, 10)  # before an idle connection would be retired
+    run_scenario(scenario, 10)  # before an idle connection would be retired
 
 
 def test_a_drain_that_a_silent_watch_misses_is_found_out_in_time(tmp_path: Path) -> None:
     async def scenario() -> None:
         leaving, staying = (lambda seen: reply(b"leaving")), (lambda seen: reply(b"staying"))
-        async with Rig(tmp_path, leaving, staying) as rig:
+        async with RunningProgram(tmp_path, leaving, staying) as rig:
             directory, fake = rig.directory, rig.directory.fake
             await fake.until(lambda f: bool(directory.waiting))
             silent = directory.waiting[-1].writer  # stays open, and says nothing any more
@@ -526,7 +527,9 @@
             leaves = [instance("s-0", rig.hosts[0].port, "draining"), instance("s-1", rig.hosts[1].port)]
             directory.generation += 1
 
-            def behave(seen: Seen) -> bytes | None:  # the news waits for whoever comes on a new connection
+            def behave(
+                seen: ReceivedMessage,
+            ) -> bytes | None:  # the news waits for whoever comes on a new connection
                 return None if seen.writer is silent else directory.listing(leaves, True)
 
             fake.behave = behave
@@ -536,7 +539,7 @@
             bodies = {(await rig.ask(message(rid=b"after%02d" % i))).body for i in range(8)}
             assert bodies == {b"staying"}
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 def test_no_client_is_taken_before_the_agent_has_told_its_list(tmp_path: Path) -> None:
@@ -544,7 +547,7 @@
 
     async def scenario() -> None:
         leaving, staying = (lambda seen: reply(b"leaving")), (lambda seen: reply(b"staying"))
-        async with Rig(tmp_path, leaving, staying) as rig:
+        async with RunningProgram(tmp_path, leaving, staying) as rig:
             directory, ports = rig.directory, [host.port for host in rig.hosts]
             rig.process.kill()
             await rig.process.wait()
@@ -571,19 +574,19 @@
             bodies = {(await rig.ask(message(rid=b"id-%d" % i))).body for i in range(8)}
             assert bodies == {b"staying"}
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 def test_a_host_may_move_to_another_address(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, serve, serve) as rig:
+        async with RunningProgram(tmp_path, serve, serve) as rig:
             await rig.directory.tell([instance("s-1", rig.hosts[1].port, "gone")])
             assert await rig.status(message(rid=b"before")) == 200
             await rig.directory.tell([instance("s-0", rig.hosts[1].port)])
             assert await rig.status(message(rid=b"moved")) == 200
             assert [s.headers["x-request-id"] for s in rig.hosts[1].seen] == ["moved"]
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -597,38 +600,38 @@
 )
 def test_discoverys_nonsense_keeps_the_list(tmp_path: Path, nonsense: bytes) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, serve) as rig:
+        async with RunningProgram(tmp_path, serve) as rig:
             await rig.directory.answer_watch(lambda: nonsense)  # returns once it has asked again
             assert await rig.status(message()) == 200
 
-    on_loop(scenario, 12)  # before the watch's own time-out would begin a new one
+    run_scenario(scenario, 12)  # before the watch's own time-out would begin a new one
 
 
 @pytest.mark.parametrize("answer", [reply(b"many"), b"\0noise\r\n\r\n"])
 def test_a_spoilt_counter_answer_is_logged_and_changes_nothing(tmp_path: Path, answer: bytes) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, serve) as rig:
-            spoilt: list[Seen] = []
+        async with RunningProgram(tmp_path, serve) as rig:
+            spoilt: list[ReceivedMessage] = []
 
-            def behave(seen: Seen) -> bytes:
+            def behave(seen: ReceivedMessage) -> bytes:
                 spoilt.append(seen)
                 return answer
 
             rig.counter.behave = behave
             assert (await rig.ask(message(rid=b"first", plan="quick"))).body == b"served"
             await rig.counter.until(lambda fake: bool(spoilt))
-            rig.counter.behave = lambda seen: adding(seen, rig.totals)
+            rig.counter.behave = lambda seen: counter_response(seen, rig.totals)
             assert (await rig.ask(message(rid=b"second", plan="quick"))).body == b"served"
             while len([line for line in rig.log if "counter: an answer that cannot" in line]) < len(spoilt):
                 await asyncio.sleep(0.01)
             assert len([line for line in rig.log if "WARNING" in line]) == len(spoilt)  # a line for each
 
-    on_loop(scenario, 8)
+    run_scenario(scenario, 8)
 
 
 def test_a_counter_that_breaks_does_not_stop_service(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, serve) as rig:
+        async with RunningProgram(tmp_path, serve) as rig:
             for i, behave in enumerate((silent, reset, lambda _: reply(b"", 503), lambda _: reply(b"x"))):
                 rig.counter.behave = behave
                 for j in range(3):  # a customer not seen before makes the module ask
@@ -637,17 +640,17 @@
             rig.counter.stop()
             assert await rig.status(message(rid=b"last", customer="0000000000000099")) == 200
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 def test_a_counter_that_cuts_connections_is_asked_for_every_new_customer(tmp_path: Path) -> None:
     """One call in three is reset, the others are answered: that is no silent counter."""
 
     async def scenario() -> None:
-        def behave(seen: Seen) -> bytes:
-            return b"" if len(rig.counter.seen) % 3 == 0 else adding(seen, rig.totals)
+        def behave(seen: ReceivedMessage) -> bytes:
+            return b"" if len(rig.counter.seen) % 3 == 0 else counter_response(seen, rig.totals)
 
-        async with Rig(tmp_path, serve) as rig:
+        async with RunningProgram(tmp_path, serve) as rig:
             rig.counter.behave = behave
             for i in range(40):
                 data = message(rid=b"id-%d" % i, customer=f"{i + 1:016x}")
@@ -656,7 +659,7 @@
             assert len(asked) == 40
             assert not any("failed" in line for line in rig.log)
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -705,7 +708,7 @@
     """It ends its attempt at once, may have run, and neither its bytes nor its connection are used."""
 
     async def scenario() -> None:
-        async with Rig(
+        async with RunningProgram(
             tmp_path, lambda seen: answer if seen.headers["x-request-id"] == "bad" else serve(seen)
         ) as rig:
             assert await rig.status(message("pay", rid=b"bad")) == 502  # unsafe: not sent again
@@ -714,7 +717,7 @@
                 assert await rig.status(message("pay", rid=b"id-%d" % i)) == 200
             assert rig.process.returncode is None
 
-    on_loop(scenario, 5)
+    run_scenario(scenario, 5)
 
 
 @pytest.mark.parametrize("late", [False, True])
@@ -723,7 +726,7 @@
     """A second copy, right behind the answer or a packet later, must not become the next request's answer."""
 
     async def scenario() -> None:
-        def behave(seen: Seen) -> bytes:
+        def behave(seen: ReceivedMessage) -> bytes:
             answer = reply(seen.headers["x-request-id"].encode())
             if not late:
                 return answer + more
@@ -731,23 +734,23 @@
             asyncio.get_running_loop().call_later(REST_S / 4, seen.writer.write, more)
             return None
 
-        async with Rig(tmp_path, behave) as rig:
+        async with RunningProgram(tmp_path, behave) as rig:
             reader, writer = await rig.connect()
             for i in range(10):
                 writer.write(message("pay", rid=b"id-%d" % i))
                 assert (await read_message(reader, writer)).body == b"id-%d" % i
             assert len({id(s.writer) for s in rig.hosts[0].seen}) == 10
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 def test_interim_answers_come_before_the_answer(tmp_path: Path) -> None:
     async def scenario() -> None:
         early = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n"
-        async with Rig(tmp_path, lambda seen: early + serve(seen)) as rig:
+        async with RunningProgram(tmp_path, lambda seen: early + serve(seen)) as rig:
             assert (await rig.ask(message())).body == b"served"
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("figure", [b"1_0", b"-1", b"5", b"1e9", b"nan", b"", b"9" * 400])
@@ -755,20 +758,22 @@
     """Guards a customer's quota: beyond `most_units` (4) nothing is billed, and the guess of 2 stays."""
 
     async def scenario() -> None:
-        async with Rig(tmp_path, lambda seen: reply(b"ok", headers=b"Billed-Units: %b\r\n" % figure)) as rig:
+        async with RunningProgram(
+            tmp_path, lambda seen: reply(b"ok", headers=b"Billed-Units: %b\r\n" % figure)
+        ) as rig:
             for i in range(30):
                 assert await rig.status(message(rid=b"id-%d" % i)) == 200
             await rig.counter.until(lambda fake: sum(rig.totals.values()) > 0)
             assert sum(rig.totals.values()) <= 60
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 def test_sighup_goes_over_to_the_discovery_and_counter_of_the_file(tmp_path: Path) -> None:
     """Also where the environment named discovery at the start; what is out meanwhile is served."""
 
     async def scenario() -> None:
-        async with Rig(tmp_path, silent, serve) as rig:
+        async with RunningProgram(tmp_path, silent, serve) as rig:
             await rig.directory.tell([instance("s-1", rig.hosts[1].port, "gone")])
             asked = asyncio.create_task(rig.ask(message(rid=b"old")))
             await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
@@ -786,13 +791,13 @@
             assert old_counter is not rig.counter
             await old_counter.until(lambda fake: fake.closed > 0)
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("raw", ["{", "[]", '{"settings": {"grades": []}}', None])
 def test_sighup_with_a_bad_file_changes_nothing(tmp_path: Path, raw: str | None) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, serve) as rig:
+        async with RunningProgram(tmp_path, serve) as rig:
             path = tmp_path / "config.json"
             path.unlink()
             if raw is not None:
@@ -804,12 +809,12 @@
             assert await rig.status(message()) == 200
             assert rig.directory.fake.closed == 0
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 def test_sighup_during_the_drain_does_not_end_it_otherwise(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, silent) as rig:
+        async with RunningProgram(tmp_path, silent) as rig:
             asked = asyncio.create_task(rig.ask(message()))
             await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
             rig.process.send_signal(signal.SIGTERM)
@@ -820,7 +825,7 @@
             rig.process.send_signal(signal.SIGHUP)
             assert await rig.process.wait() == 0
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 def test_a_kept_connection_that_is_reset_says_nothing_of_its_host(tmp_path: Path) -> None:
@@ -830,18 +835,18 @@
     async def scenario() -> None:
         used: set[int] = set()
 
-        def behave(seen: Seen) -> bytes:
+        def behave(seen: ReceivedMessage) -> bytes:
             again = id(seen.writer) in used
             used.add(id(seen.writer))
             kept.append(seen.writer)
             return b"" if again else serve(seen)
 
         kept: list[asyncio.StreamWriter] = []
-        async with Rig(tmp_path, behave) as rig:
+        async with RunningProgram(tmp_path, behave) as rig:
             for i in range(10):
                 assert await rig.status(message(rid=b"id-%d" % i)) == 200
                 await asyncio.sleep(5 * REST_S)
             assert not any("fails" in line for line in rig.log)
             assert len(rig.hosts[0].seen) == 19  # each but the first found its connection dead once
 
-    on_loop(scenario)
+    run_scenario(scenario)
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -6,12 +6,16 @@
 import statistics
 
 import pytest
-from conftest import OPEN, SAFE, Driver, of, server, settings
-from fleet_play import Play
+from support.fleet_simulation import FleetSimulation
+from support.gateway_driver import OPEN, SAFE, GatewayDriver, actions_of_type, endpoint, settings
 
-from api_gateway import interface as api
 from api_gateway.decisions.gateway import LOOK, SUBSET_MIN, Gateway
 from api_gateway.decisions.subset import Ring, place
+from api_gateway.model.actions import StartAttempt
+from api_gateway.model.endpoints import EndpointStatus, UpdateKind
+from api_gateway.model.events import AttemptEnded, EndpointUpdate, RequestReceived, TimerFired
+from api_gateway.model.results import AttemptResult
+from api_gateway.model.settings import Idempotency, KeyScope, RequestClass
 
 
 def ring(names: list[str], zones: int = 3) -> Ring:
@@ -77,11 +81,16 @@
 
 
 def test_a_whole_new_list_keeps_the_subset_of_those_that_stay() -> None:
-    d = Driver(servers=200, fleet_size=100)
+    d = GatewayDriver(endpoints=200, fleet_size=100)
     before = {h.name for h in d.gateway.subset.chosen(d.now)}
-    d.give(api.ServerList("full", tuple(server(i) for i in range(200))))
+    d.give(EndpointUpdate(UpdateKind.FULL, tuple(endpoint(i) for i in range(200))))
     assert {h.name for h in d.gateway.subset.chosen(d.now)} == before
-    d.give(api.ServerList("changes", (server(3, status="draining"), server(5, status="removed"))))
+    d.give(
+        EndpointUpdate(
+            UpdateKind.CHANGES,
+            (endpoint(3, status=EndpointStatus.DRAINING), endpoint(5, status=EndpointStatus.REMOVED)),
+        )
+    )
     now = d.gateway.subset.chosen(d.now)
     assert not {"h3", "h5"} & {h.name for h in now} and len(now) >= SUBSET_MIN
 
@@ -91,7 +100,7 @@
 def test_load_is_spread_over_the_hosts_at_every_size(gateways: int, hosts: int, skew: float) -> None:
     """Even and uneven traffic over gateways. Each gateway's own choice of hosts to keep connections to left
     the busiest with 2.3 to 3.3 times the mean at 200 gateways, and some with nothing."""
-    play = Play(gateways=gateways, hosts=hosts, rate=10, skew=skew, seed=3)
+    play = FleetSimulation(gateways=gateways, hosts=hosts, rate=10, skew=skew, seed=3)
     play.run(5)
     since = play.now
     play.run(15)
@@ -104,7 +113,7 @@
     """One gateway whose hosts may be out of reach."""
 
     def __init__(self, hosts: int, fleet: int) -> None:
-        self.d = Driver(servers=hosts, fleet_size=fleet, try_limit=3, cold_ms=0)
+        self.d = GatewayDriver(endpoints=hosts, fleet_size=fleet, max_attempts=3, slow_start_ms=0)
         self.gone: set[str] = set()
         self.next_sweep = self.d.now + 100
 
@@ -112,14 +121,14 @@
         """One request and what comes of it: whether it was served."""
         self.d.now += after
         while self.next_sweep <= self.d.now:
-            self.d.give(api.TimerDue("sweep"))
+            self.d.give(TimerFired("sweep"))
             self.next_sweep += 100
         rid, out = self.d.ask()
-        while sends := of(out, api.Send):
-            if sends[0].server not in self.gone:
+        while sends := actions_of_type(out, StartAttempt):
+            if sends[0].endpoint not in self.gone:
                 self.d.end(rid, took=50)
                 return True
-            out = self.d.end(rid, api.CONNECT_FAILED, took=250, after=0)
+            out = self.d.end(rid, AttemptResult.CONNECT_FAILED, took=250, after=0)
         return False
 
 
@@ -158,29 +167,36 @@
 
     monkeypatch.setattr(Gateway, "_may_send", counted)
     for hosts in (50, 11_000):
-        gateway, now = Gateway(settings(classes=(SAFE,), plans=(OPEN,), fleet_size=670, me=7), 1), 1e9
-        gateway.handle(now, api.ServerList("full", tuple(server(i, zone=f"z{i % 5}") for i in range(hosts))))
+        gateway, now = (
+            Gateway(settings(classes=(SAFE,), plans=(OPEN,), fleet_size=670, gateway_index=7), 1),
+            1e9,
+        )
+        gateway.handle(
+            now, EndpointUpdate(UpdateKind.FULL, tuple(endpoint(i, zone=f"z{i % 5}") for i in range(hosts)))
+        )
         for i in range(600):
             now += 8
             looks[0] = 0
-            for act in gateway.handle(now, api.Request(f"r{i}", "read", "open", f"c{i}", 4000)):
-                if isinstance(act, api.Send):
-                    gateway.handle(now, api.Outcome(act.request, 0, act.server, api.OK, 50, True))
+            for act in gateway.handle(now, RequestReceived(f"r{i}", "read", "open", f"c{i}", 4000)):
+                if isinstance(act, StartAttempt):
+                    gateway.handle(
+                        now, AttemptEnded(act.request_id, 0, act.endpoint, AttemptResult.OK, 50, True)
+                    )
             assert looks[0] <= LOOK
             if i % 12 == 0:
-                gateway.handle(now, api.TimerDue("sweep"))
+                gateway.handle(now, TimerFired("sweep"))
         assert len(gateway.subset) < 200  # 125 requests a second: one a second for each of its hosts
 
 
 def test_a_pressed_subset_grows_and_shrinks_again() -> None:
-    d = Driver(servers=200, fleet_size=100, may_count=False)
+    d = GatewayDriver(endpoints=200, fleet_size=100, counter_enabled=False)
     d.sweep(5)
     asked = [d.ask()[0] for _ in range(60)]  # nothing comes back: more is out than its hosts
     d.sweep(10)
     grown = len(d.gateway.subset.chosen(d.now).warm)
     assert grown > 2 * SUBSET_MIN
     for rid in asked:
-        if any(isinstance(a, api.Send) and a.request == rid for _, a in d.log):
+        if any(isinstance(a, StartAttempt) and a.request_id == rid for _, a in d.log):
             d.end(rid, took=900)
     d.sweep(300)
     assert len(d.gateway.subset.chosen(d.now).warm) < grown
@@ -188,30 +204,35 @@
 
 def test_a_repeat_finds_its_group_outside_the_subset() -> None:
     """Keyed by cell: only hosts of the first attempt's cell may have it again."""
-    cell = api.RequestClass(
-        "put", aim_ms=1000, deadline_ms=4000, effect="keyed", key_scope="cell", window_ms=3000
+    cell = RequestClass(
+        "put",
+        latency_objective_ms=1000,
+        deadline_ms=4000,
+        idempotency=Idempotency.WITH_KEY,
+        idempotency_key_scope=KeyScope.FAILURE_DOMAIN,
+        idempotency_window_ms=3000,
     )
-    d = Driver(servers=0, fleet_size=100, classes=(cell,))
-    hosts = tuple(server(i, zone="a", cell=i % 100) for i in range(400))
-    d.give(api.ServerList("full", hosts))
+    d = GatewayDriver(endpoints=0, fleet_size=100, classes=(cell,))
+    hosts = tuple(endpoint(i, zone="a", failure_domain=i % 100) for i in range(400))
+    d.give(EndpointUpdate(UpdateKind.FULL, hosts))
     rng = random.Random(2)
     for _ in range(20):
         rid, out = d.ask("put", customer=f"c{rng.random()}")
-        (one,) = of(out, api.Send)
-        more = of(d.end(rid, api.RESET, took=5), api.Send)
-        assert more and int(more[0].server[1:]) % 100 == int(one.server[1:]) % 100
+        (one,) = actions_of_type(out, StartAttempt)
+        more = actions_of_type(d.end(rid, AttemptResult.CONNECTION_RESET, took=5), StartAttempt)
+        assert more and int(more[0].endpoint[1:]) % 100 == int(one.endpoint[1:]) % 100
 
 
 def test_no_host_is_left_that_nobody_works_with() -> None:
     """20 hosts to a gateway, whose traffic alone would visit 15: the subsets cover the ring, and twice."""
     reached: dict[str, int] = {}
     for me in range(10):
-        d = Driver(servers=200, fleet_size=10, me=me, may_count=False)
+        d = GatewayDriver(endpoints=200, fleet_size=10, gateway_index=me, counter_enabled=False)
         for i in range(240):
             rid, _ = d.ask(after=33)
             d.end(rid, took=30)
             if i % 3 == 0:
-                d.give(api.TimerDue("sweep"))
+                d.give(TimerFired("sweep"))
         for host in d.gateway.subset.chosen(d.now).warm:
             reached[host.name] = reached.get(host.name, 0) + 1
     assert len(reached) == 200 and min(reached.values()) >= 1 and sum(reached.values()) >= 1.5 * 200
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -13,17 +13,19 @@
 
 import msgspec
 import pytest
-from conftest import LOOP, ROOT, on_loop
+from support.http_fakes import LOOP, ROOT
+from support.program import run_scenario
 
 from api_gateway.configuration import parse
+from api_gateway.model.endpoints import EndpointStatus
 from api_gateway.network import discovery as discovery_calls
-from api_gateway.network.discovery import parse_listing
+from api_gateway.network.discovery import parse_endpoint_list
 from testbed import configuration
 from testbed.children import ChildError, Children
 from testbed.counter import Counts
 from testbed.discovery import Directory, Instance
 from testbed.fit import line
-from testbed.hollow import HollowFleet, ReckonedHosts
+from testbed.hollow import HollowFleet, SimulatedConnectionPool
 from testbed.hosts import Hosts, HostTimes
 from testbed.http import serve
 from testbed.plan import Plan, Report
@@ -55,8 +57,8 @@
         it = Directory(listed(30))
         server = await serve(it.handle, it.traffic)
         ((status, body),) = await ask(server, "GET /v1/endpoints")
-        whole = parse_listing(msgspec.json.decode(body))
-        assert status == 200 and whole.whole and len(whole.servers) == 30
+        whole = parse_endpoint_list(msgspec.json.decode(body))
+        assert status == 200 and whole.whole and len(whole.endpoints) == 30
         watch = asyncio.create_task(ask(server, f"GET /v1/endpoints?after={whole.generation}&wait_ms=20000"))
         while not it._waiting:
             await asyncio.sleep(0)
@@ -64,16 +66,16 @@
         it.change(
             [msgspec.structs.replace(gone, lifecycle="gone"), Instance("s-new", "127.0.0.1:9", "zone-1")]
         )
-        news = parse_listing(msgspec.json.decode((await watch)[0][1]))
-        assert not news.whole and {s.name: s.status for s in news.servers} == {
-            gone.instanceId: "removed",
-            "s-new": "up",
+        news = parse_endpoint_list(msgspec.json.decode((await watch)[0][1]))
+        assert not news.whole and {s.name: s.status for s in news.endpoints} == {
+            gone.instanceId: EndpointStatus.REMOVED,
+            "s-new": EndpointStatus.UP,
         }
         ((_, body),) = await ask(server, f"GET /v1/endpoints?after={news.generation}&wait_ms=1")
-        assert parse_listing(msgspec.json.decode(body)).servers == ()
+        assert parse_endpoint_list(msgspec.json.decode(body)).endpoints == ()
         assert (it.whole, it.changes, it.empty) == (1, 1, 1) and it.traffic.messages == 3
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 def test_a_discovery_that_must_be_asked_serves_in_turn_and_turns_away_beyond_its_line() -> None:
@@ -84,7 +86,7 @@
         assert 3 <= sum(status == 200 for status, _ in answers) <= 10
         assert it.away == sum(status == 503 for status, _ in answers)
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 def test_the_counter_adds_forgets_and_turns_away() -> None:
@@ -120,7 +122,7 @@
         assert await ask(server, "POST /v1/count/late?add=1&ttl_ms=60000") == [(200, b"2")]
         asked.cancel()
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 def test_the_counter_bounds_its_calls_a_second() -> None:
@@ -130,7 +132,7 @@
         statuses = [status for status, _ in await ask(server, *["POST /v1/count/a?add=1&ttl_ms=60000"] * 200)]
         assert 15 <= statuses.count(200) <= 60 and statuses.count(503) == 200 - statuses.count(200)
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 def test_hosts_answer_after_their_time_and_tell_it() -> None:
@@ -140,7 +142,7 @@
         answers = await ask(server, "GET /api/1", "GET /api/2")
         assert all(status == 200 and body.isdigit() for status, body in answers)
 
-    on_loop(scenario)
+    run_scenario(scenario)
     times = HostTimes(20.0, 0.8, 1)
     drawn = [times.draw() for _ in range(20_000)]
     assert abs(sum(drawn) / len(drawn) - 0.02) < 0.001
@@ -179,23 +181,27 @@
             await asyncio.sleep(0.01)
         assert directory.whole == 100
         await fleet.load(2.0)
-        while any(core._requests for core in fleet.cores):
+        while any(dispatcher._requests for dispatcher in fleet.dispatchers):
             await asyncio.sleep(0.01)
         assert fleet.asked > 700 and fleet.served > 0.8 * fleet.asked
-        assert fleet.served <= sum(ReckonedHosts.load.values()) == len(fleet.sent)
+        assert fleet.served <= sum(SimulatedConnectionPool.load.values()) == len(fleet.sent)
         assert counts.calls > 0 and sum(units for _, _, units in fleet.sent) <= sum(
             fleet.units_asked.values()
         )
         assert fleet.added.count() == fleet.served
         directory.change([msgspec.structs.replace(i, lifecycle="draining") for i in listed(60)[:30]])
-        while any(sum(core._hosts._names.values()) > 30 for core in fleet.cores):  # all watches have told
+        while any(
+            sum(dispatcher._hosts._names.values()) > 30 for dispatcher in fleet.dispatchers
+        ):  # all watches have told
             await asyncio.sleep(0.01)
-        ReckonedHosts.load.clear()
+        SimulatedConnectionPool.load.clear()
         await fleet.load(0.5)
-        assert ReckonedHosts.load and not {f"s-{i:06x}" for i in range(30)} & set(ReckonedHosts.load)
+        assert SimulatedConnectionPool.load and not {f"s-{i:06x}" for i in range(30)} & set(
+            SimulatedConnectionPool.load
+        )
         fleet.stop()
 
-    on_loop(scenario)
+    run_scenario(scenario)
 
 
 def test_quotas_are_reckoned_against_the_true_store() -> None:
@@ -325,4 +331,4 @@
             pid = fine.process.pid
         assert not Path(f"/proc/{pid}").exists() and not children.all
 
-    on_loop(scenario)
+    run_scenario(scenario)
