--- a/api_gateway/decisions/admission.py
+++ b/api_gateway/decisions/admission.py
@@ -1,87 +1,121 @@
-"""Admission by SiRED: the fraction of new work let in, and an accumulator for each class and plan.
+"""Admission control by SiRED: the fraction of requests admitted, and an accumulator for each class and plan.
 
-f = max(F_MIN, min((Q_MAX - q) / (Q_MAX - Q_MIN), 1)) over the smoothed occupancy q (design page). Where that
-asks for less than all, what is worth least for its work is shed first.
+f = max(fmin, min((Qmax - q) / (Qmax - Qmin), 1)) over the smoothed occupancy q (design page). Where f is less
+than 1, requests with the least weight for their work are shed first.
 """
 
 from __future__ import annotations
 
-from api_gateway.decisions.occupancy import Q_MIN, Occupancy
+from api_gateway.decisions.occupancy import MIN_SHED_OCCUPANCY, Occupancy
 from api_gateway.model.settings import Plan, RequestClass
 
-Q_MAX, F_MIN = 0.45, 0.05  # the occupancy at which the ramp ends, and the fraction that it ends at
-UNSEEN_LIFT = 0.25  # the ramp lies so much higher where we see nothing of the hosts' load when we choose
-HALF_SEEN = 0.1  # requests of ours out on a host, in the mean, at which we see half of what there is to see
-KEPT_FRACTION = 0.25  # least part of f that each class and plan keeps, however little it is worth
-OUT_TOO_LONG = 0.45  # part of an aim after which what is still out counts as full, while no answers tell more
-FEW_SAMPLES = 5.0  # samples of q under which that is so
+MAX_SHED_OCCUPANCY = 0.45  # Qmax of the design: occupancy at which the fraction reaches its minimum
+MIN_ADMITTED_FRACTION = 0.05  # fmin of the design
+MAX_RAMP_OFFSET = 0.25  # the ramp lies so much higher where this gateway sees nothing of an endpoint's load
+HALF_SEEN_IN_FLIGHT = 0.1  # own requests in flight on an endpoint, in the mean, that show half of its load
+GUARANTEED_PART = 0.25  # part of the fraction that each class and plan keeps, however little it weighs
+OVERDUE_OBJECTIVE_PART = 0.45  # part of its objective after which a request in flight counts as overload
+FEW_SAMPLES = 5.0  # samples of occupancy below which overdue requests count
+MIN_LATENCY_MS = 1e-6
 
 
-def ramp(q: float, lift: float = 0.0) -> float:
-    """The SiRED fraction for smoothed occupancy q; `lift` moves the whole ramp up."""
-    return max(F_MIN, min((Q_MAX + lift - q) / (Q_MAX - Q_MIN), 1.0))
+def admitted_fraction(occupancy: float, offset: float = 0.0) -> float:
+    """Return the SiRED fraction for a smoothed occupancy.
 
+    Args:
+        occupancy: Smoothed occupancy, 0 to 1.
+        offset: How far the whole ramp is moved up.
+    """
+    ramp = (MAX_SHED_OCCUPANCY + offset - occupancy) / (MAX_SHED_OCCUPANCY - MIN_SHED_OCCUPANCY)
+    return max(MIN_ADMITTED_FRACTION, min(ramp, 1.0))
 
-def unseen_lift(per_host: float) -> float:
-    """How far the ramp is lifted with so many requests of ours out on each host: those that choose their
-    hosts unseen by each other queue by chance, and no shedding mends that."""
-    return UNSEEN_LIFT * HALF_SEEN / (HALF_SEEN + per_host)
 
+def ramp_offset(in_flight_per_endpoint: float) -> float:
+    """Return how far the ramp is moved up with so many own requests in flight on each endpoint.
 
-class ClassPlanFraction:
-    """Requests of one class and plan: their worth per work, share of the work, fraction let in."""
+    Gateways that choose endpoints without seeing each other's requests cause queues by chance, which shedding
+    does not shorten.
+    """
+    return MAX_RAMP_OFFSET * HALF_SEEN_IN_FLIGHT / (HALF_SEEN_IN_FLIGHT + in_flight_per_endpoint)
+
+
+class ClassPlanShare:
+    """Requests of one class and plan: their weight for their work, their work, and the fraction admitted."""
 
     def __init__(self) -> None:
-        self.value = self.work = self.r = 0.0
-        self.f = 1.0
+        self.weight_per_work = 0.0
+        self.work = 0.0
+        self.accumulator = 0.0
+        self.fraction = 1.0
 
-    def take(self, value: float, work: float) -> bool:
-        """The accumulator: r += f; at 1 or more, subtract 1 and let in."""
-        self.value = value
+    def admit(self, weight_per_work: float, work: float) -> bool:
+        """Add the fraction to the accumulator; at 1 or more, subtract 1 and admit the request."""
+        self.weight_per_work = weight_per_work
         self.work += work
-        self.r += self.f
-        if self.r < 1.0:
+        self.accumulator += self.fraction
+        if self.accumulator < 1.0:
             return False
-        self.r -= 1.0
+        self.accumulator -= 1.0
         return True
 
 
-class Admission:
-    """What part of the new work is let in."""
+class AdmissionController:
+    """Decides what part of the new requests is admitted.
+
+    Args:
+        classes: The request classes.
+    """
 
     def __init__(self, classes: tuple[RequestClass, ...]) -> None:
         self.occupancy = Occupancy(classes)
         self.fraction = 1.0
-        self.cells: dict[tuple[str, str], ClassPlanFraction] = {}
-        self.per_host = 0.0  # requests of ours out on a host, in the mean
-
-    def admit(self, cls: RequestClass, plan: Plan, latency_ms: float, units: float) -> bool:
-        """Whether one more request of a class and plan is let in; `latency_ms`: usual, for one unit."""
-        cell = self.cells.setdefault((cls.name, plan.name), ClassPlanFraction())
-        return cell.take(
-            cls.priority_weight * plan.priority_weight / max(latency_ms, 1e-6), latency_ms * max(units, 0.0)
-        )
-
-    def update(self, late: int) -> None:
-        """The fraction for the occupancy as it is now; `late` requests are out for too long."""
-        q = (FEW_SAMPLES * self.occupancy.q + late) / (FEW_SAMPLES + late)
-        self.fraction = ramp(q, unseen_lift(self.per_host) + self.occupancy.chance)
-        self._share_out()
-
-    def _share_out(self) -> None:
-        """Staggered ramps: worth per work decides which cell loses first, though each keeps a part of f; the
-        sum over cells stays f."""
-        total = sum(cell.work for cell in self.cells.values())
-        kept = KEPT_FRACTION * self.fraction
-        rest = (self.fraction - kept) / (1.0 - kept)
-        above = 0.0
-        for cell in sorted(self.cells.values(), key=lambda c: -c.value):
-            share = cell.work / total if total > 0 else 1.0
-            part = max(0.0, min((rest - above) / share, 1.0)) if share > 0 else rest
-            cell.f = max(F_MIN, kept + (1.0 - kept) * part)
-            above += share
-
-    def forget(self, keep: float) -> None:
-        """Keep this part of what is remembered of the cells' work."""
-        for cell in self.cells.values():
-            cell.work *= keep
+        self.shares: dict[tuple[str, str], ClassPlanShare] = {}
+        self._in_flight_per_endpoint = 0.0
+
+    def admit(self, request_class: RequestClass, plan: Plan, latency_ms: float, units: float) -> bool:
+        """Decide on one more request of a class and plan.
+
+        Args:
+            request_class: Its class.
+            plan: Its plan.
+            latency_ms: Typical latency of the class for one unit.
+            units: Its size.
+        """
+        share = self.shares.setdefault((request_class.name, plan.name), ClassPlanShare())
+        weight = request_class.priority_weight * plan.priority_weight
+        return share.admit(weight / max(latency_ms, MIN_LATENCY_MS), latency_ms * max(units, 0.0))
+
+    def update(self, overdue: int) -> None:
+        """Set the fraction for the occupancy as it is now.
+
+        Args:
+            overdue: Requests in flight for too long, each of which counts as one sample of 1.
+        """
+        occupancy = (FEW_SAMPLES * self.occupancy.smoothed + overdue) / (FEW_SAMPLES + overdue)
+        offset = ramp_offset(self._in_flight_per_endpoint) + self.occupancy.noise
+        self.fraction = admitted_fraction(occupancy, offset)
+        self._distribute_fraction()
+
+    def _distribute_fraction(self) -> None:
+        """Serve the highest weight for work first; the mean over all work stays the whole fraction."""
+        total = sum(share.work for share in self.shares.values())
+        guaranteed = GUARANTEED_PART * self.fraction
+        rest = (self.fraction - guaranteed) / (1.0 - guaranteed)
+        served = 0.0
+        for share in sorted(self.shares.values(), key=lambda share: -share.weight_per_work):
+            part_of_work = share.work / total if total > 0 else 1.0
+            part = max(0.0, min((rest - served) / part_of_work, 1.0)) if part_of_work > 0 else rest
+            share.fraction = max(MIN_ADMITTED_FRACTION, guaranteed + (1.0 - guaranteed) * part)
+            served += part_of_work
+
+    def sweep(self, in_flight_per_endpoint: float, keep: float) -> None:
+        """Let what is remembered fade.
+
+        Args:
+            in_flight_per_endpoint: Own requests in flight on an endpoint now, in the mean.
+            keep: Weight of what is remembered, 0 to 1.
+        """
+        mean = self._in_flight_per_endpoint
+        self._in_flight_per_endpoint = keep * mean + (1 - keep) * in_flight_per_endpoint
+        for share in self.shares.values():
+            share.work *= keep
--- /dev/null
+++ b/api_gateway/decisions/attempt_flow.py
@@ -0,0 +1,158 @@
+"""The attempts of a request: started, learned from when they end, retried or given up."""
+
+from __future__ import annotations
+
+from api_gateway.decisions.admission import AdmissionController
+from api_gateway.decisions.endpoints import EndpointState
+from api_gateway.decisions.latency import TypicalLatency
+from api_gateway.decisions.load_sampling import LoadSampler
+from api_gateway.decisions.outlier_detection import OutlierDetector
+from api_gateway.decisions.pending_requests import Attempt, PendingRequest, PendingRequests
+from api_gateway.decisions.rejections import Rejections
+from api_gateway.decisions.retry import RetryPolicy
+from api_gateway.decisions.selection import EndpointSelector
+from api_gateway.decisions.slow_start import SlowStart
+from api_gateway.decisions.traffic import TrafficRates
+from api_gateway.decisions.usage_reporting import UsageReporter
+from api_gateway.model.actions import Action, CancelAttempt, FailRequest
+from api_gateway.model.events import AttemptEnded, ResponseStarted
+from api_gateway.model.results import AttemptResult, RejectReason
+from api_gateway.model.settings import Settings
+
+
+class AttemptFlow:
+    """Takes each attempt from its start to its end, and a request with attempts to its one final answer.
+
+    It holds no state of its own.
+
+    Args:
+        settings: The gateway's settings.
+        actions: Where the attempts and answers are added.
+        rejections: Answers that a request was not served.
+        pending: The requests with attempts.
+        selector: Chooses among the endpoints.
+        slow_start: Keeps the budgets of those that are warming up.
+        outliers: Judges endpoints.
+        retry_policy: The rules on attempts.
+        sampler: Samples the load.
+        admission: Keeps the latency of each class.
+        reporter: Reports units that were used.
+        traffic: The gateway's rates.
+        latency: Typical latencies of the classes.
+    """
+
+    def __init__(
+        self,
+        settings: Settings,
+        actions: list[Action],
+        rejections: Rejections,
+        pending: PendingRequests,
+        selector: EndpointSelector,
+        slow_start: SlowStart,
+        outliers: OutlierDetector,
+        retry_policy: RetryPolicy,
+        sampler: LoadSampler,
+        admission: AdmissionController,
+        reporter: UsageReporter,
+        traffic: TrafficRates,
+        latency: TypicalLatency,
+    ) -> None:
+        self._is_cancellation_supported = settings.cancellation_supported
+        self._actions = actions
+        self._rejections = rejections
+        self._pending = pending
+        self._selector = selector
+        self._slow_start = slow_start
+        self._outliers = outliers
+        self._retry_policy = retry_policy
+        self._sampler = sampler
+        self._class_latencies = admission.occupancy.classes
+        self._reporter = reporter
+        self._traffic = traffic
+        self._latency = latency
+
+    def start(self, pending: PendingRequest, endpoint: EndpointState, now_ms: float) -> None:
+        """Start an attempt of a request at an endpoint."""
+        action = self._retry_policy.start_attempt(pending, endpoint, now_ms)
+        block = self._class_latencies[pending.class_name].start_attempt(now_ms)
+        self._pending.start_attempt(pending, Attempt(endpoint, now_ms, block))
+        self._traffic.record_attempt()
+        self._slow_start.record_attempt(endpoint, pending.work, now_ms)
+        self._actions.append(action)
+
+    def record_end(self, event: AttemptEnded, now_ms: float) -> None:
+        """Take in the end of an attempt: learn from it, then answer, retry or give up."""
+        pending = self._pending.get(event.request_id)
+        if pending is None or not 0 <= event.attempt < len(pending.attempts):
+            return
+        attempt = pending.attempts[event.attempt]
+        if not attempt.is_in_flight:
+            return
+        self._pending.end_attempt(attempt, event.result.never_ran)
+        self._sampler.record_outcome(pending, attempt, event, now_ms)
+        if event.result is not AttemptResult.NOT_STARTED:
+            self._judge_endpoint(pending, attempt.endpoint, event, now_ms)
+        if event.result is AttemptResult.OK:
+            self._charge_actual_units(pending, event.actual_units, now_ms)
+        if event.is_final or event.result is AttemptResult.OK or pending.is_answered:
+            self.finish(pending)
+        elif not pending.has_attempt_in_flight() and not self._retry(pending, event, now_ms):
+            self._give_up(pending)
+
+    def _judge_endpoint(
+        self, pending: PendingRequest, endpoint: EndpointState, event: AttemptEnded, now_ms: float
+    ) -> None:
+        class_name, units = pending.class_name, pending.units
+        expected_ms = self._latency.expected_ms(class_name, units)
+        objective_ms = pending.request_class.latency_objective_ms
+        self._outliers.record_outcome(endpoint, event, expected_ms, objective_ms, now_ms)
+        if event.result is AttemptResult.OK:
+            self._latency.record(class_name, event.duration_ms, event.actual_units or units)
+            self._traffic.record_completion()
+
+    def _charge_actual_units(self, pending: PendingRequest, actual_units: float, now_ms: float) -> None:
+        """Charge the difference between the units that were used and those that were estimated."""
+        tenant = pending.tenant
+        if actual_units > 0 and tenant.plan.quota_rate > 0:
+            tenant.quota.spend(actual_units - pending.units)
+            self._reporter.report(tenant, now_ms)
+
+    def _retry(self, pending: PendingRequest, event: AttemptEnded, now_ms: float) -> bool:
+        """Start another attempt, if it can be in time and is paid for; whether there is one.
+
+        After a local limit there is none: another endpoint does not lift it.
+        """
+        if event.result is AttemptResult.LOCAL_LIMIT:
+            return False
+        cost = self._retry_policy.retry_cost(pending, event)
+        if not self._retry_policy.is_retry_worthwhile(pending, cost, now_ms):
+            return False
+        endpoint = self._selector.select(pending, now_ms)
+        if endpoint is None:
+            return False
+        self._retry_policy.budget.spend(cost)
+        self.start(pending, endpoint, now_ms)
+        return True
+
+    def mark_streaming(self, event: ResponseStarted) -> None:
+        """Note that a streamed answer has begun."""
+        pending = self._pending.get(event.request_id)
+        if pending is not None:
+            pending.is_streaming = True
+
+    def finish(self, pending: PendingRequest) -> None:
+        """Send no more of a request; cancel its attempts in flight, and wait for their ends."""
+        in_flight = [i for i, attempt in enumerate(pending.attempts) if attempt.is_in_flight]
+        if self._is_cancellation_supported and not pending.is_streaming and not pending.is_answered:
+            self._actions.extend(CancelAttempt(pending.request_id, i) for i in in_flight)
+        pending.is_answered = True
+        if not in_flight and self._pending.remove(pending):
+            pending.tenant.in_flight -= 1
+
+    def _give_up(self, pending: PendingRequest) -> None:
+        """Answer a request that will not be served: a rejection promises that it never ran."""
+        if pending.may_have_run():
+            self._actions.append(FailRequest(pending.request_id))
+        else:
+            self._rejections.reject(pending.request_id, RejectReason.ATTEMPTS_EXHAUSTED)
+        self.finish(pending)
--- /dev/null
+++ b/api_gateway/decisions/endpoints.py
@@ -0,0 +1,154 @@
+"""What this gateway knows of each endpoint, and the table of all that are listed."""
+
+from __future__ import annotations
+
+from api_gateway.decisions.ring import Ring
+from api_gateway.model.endpoints import Endpoint, EndpointStatus, UpdateKind
+from api_gateway.model.events import EndpointUpdate
+
+MIN_WEIGHT = 1e-6
+LONG_AGO_MS = -1e12
+
+
+class EndpointState:
+    """What this gateway knows of one endpoint.
+
+    Args:
+        endpoint: Its entry of the endpoint list.
+
+    Attributes:
+        in_flight: Own attempts in flight.
+        latency_ratio: Running mean of its latency over the typical one of the request's class.
+        consecutive_failures: Failures since its last success, while it is not ejected.
+        ejection_count: Ejections since its last success; 0 while it is not ejected.
+        ejected_until_ms: When the next probe may be sent to it.
+        connect_failed: Whether connections to it failed: at its next success it may have just started.
+        idle_connection_at_ms: When an answer last left a connection to it idle.
+        started_at_ms: When its process started, by the list; 0 for long ago.
+        slow_start_from_ms: When its slow start began; 0 for long ago.
+        slow_start_budget: Work that may be sent to it while it warms up, as of `slow_start_budget_at_ms`.
+        last_attempt_at_ms: When it was sent an attempt last.
+        last_time_slot: The last time slot of the fleet in which it was sent a single request.
+    """
+
+    def __init__(self, endpoint: Endpoint) -> None:
+        self.name = endpoint.name
+        self.in_flight = 0
+        self.latency_ratio = 1.0
+        self.consecutive_failures = 0
+        self.ejection_count = 0
+        self.ejected_until_ms = 0.0
+        self.connect_failed = False
+        self.idle_connection_at_ms = LONG_AGO_MS
+        self.started_at_ms = 0.0
+        self.slow_start_from_ms = 0.0
+        self.slow_start_budget = 0.0
+        self.slow_start_budget_at_ms = 0.0
+        self.last_attempt_at_ms = 0.0
+        self.last_time_slot = -1
+        self.update(endpoint)
+
+    def update(self, endpoint: Endpoint) -> None:
+        """Take over an entry of the list; a later start is another process, of which nothing is known."""
+        self.zone = endpoint.zone
+        self.failure_domain = endpoint.failure_domain
+        self.weight = max(endpoint.weight, MIN_WEIGHT)
+        self.is_up = endpoint.status is EndpointStatus.UP
+        if endpoint.started_at_ms > self.started_at_ms:
+            self.started_at_ms = self.slow_start_from_ms = endpoint.started_at_ms
+            self.slow_start_budget = 0.0
+            self.consecutive_failures = self.ejection_count = 0
+            self.ejected_until_ms = 0.0
+            self.connect_failed = False
+            self.latency_ratio = 1.0
+
+    def is_placed_as(self, endpoint: Endpoint) -> bool:
+        """Whether an entry leaves its zone, its failure domain and whether it is up as they are."""
+        is_up = endpoint.status is EndpointStatus.UP
+        return (self.zone, self.failure_domain, self.is_up) == (endpoint.zone, endpoint.failure_domain, is_up)
+
+
+class EndpointTable:
+    """All endpoints of the list.
+
+    Attributes:
+        available: Those that are up, by name.
+        ring: The same in the order that all gateways agree on.
+        revision: Grows with each change that may change which endpoints a gateway works with.
+    """
+
+    def __init__(self) -> None:
+        self._endpoints: dict[str, EndpointState] = {}
+        self._failure_domains: dict[tuple[str, int], dict[str, EndpointState]] = {}
+        self.available: dict[str, EndpointState] = {}
+        self.ring = Ring()
+        self.revision = 0
+
+    def __len__(self) -> int:
+        """Return the number of endpoints, draining ones included."""
+        return len(self._endpoints)
+
+    def __getitem__(self, name: str) -> EndpointState:
+        """Return the endpoint of this name."""
+        return self._endpoints[name]
+
+    def __contains__(self, name: str) -> bool:
+        """Whether an endpoint of this name is listed."""
+        return name in self._endpoints
+
+    def values(self) -> list[EndpointState]:
+        """Return all endpoints."""
+        return list(self._endpoints.values())
+
+    def mark_changed(self) -> None:
+        """Note a change of an endpoint that may change which endpoints a gateway works with."""
+        self.revision += 1
+
+    def apply(self, update: EndpointUpdate) -> None:
+        """Take over an update of the list; an update that names all endpoints removes those it leaves out."""
+        if update.kind is not UpdateKind.CHANGES:
+            listed = {endpoint.name for endpoint in update.endpoints}
+            for name in [name for name in self._endpoints if name not in listed]:
+                self._remove(name)
+        for endpoint in update.endpoints:
+            self._apply_entry(endpoint)
+
+    def _apply_entry(self, endpoint: Endpoint) -> None:
+        state = self._endpoints.get(endpoint.name)
+        if endpoint.status is EndpointStatus.REMOVED:
+            if state is not None:
+                self._remove(endpoint.name)
+        elif state is None:
+            state = self._endpoints[endpoint.name] = EndpointState(endpoint)
+            self._index(state)
+        elif state.is_placed_as(endpoint):
+            state.update(endpoint)
+            self.mark_changed()
+        else:
+            self._unindex(state)
+            state.update(endpoint)
+            self._index(state)
+
+    def _remove(self, name: str) -> None:
+        self._unindex(self._endpoints.pop(name))
+
+    def _index(self, state: EndpointState) -> None:
+        self._failure_domains.setdefault((state.zone, state.failure_domain), {})[state.name] = state
+        if state.is_up:
+            self.ring.add(state.name, state.zone)
+            self.available[state.name] = state
+        self.mark_changed()
+
+    def _unindex(self, state: EndpointState) -> None:
+        domain = self._failure_domains[state.zone, state.failure_domain]
+        del domain[state.name]
+        if not domain:
+            del self._failure_domains[state.zone, state.failure_domain]
+        if self.available.pop(state.name, None) is not None:
+            self.ring.remove(state.name, state.zone)
+        self.mark_changed()
+
+    def in_failure_domain_of(self, state: EndpointState) -> list[EndpointState]:
+        """Return the endpoints of an endpoint's failure domain that are up and not ejected."""
+        domain = self._failure_domains.get((state.zone, state.failure_domain), {})
+        return [other for other in domain.values() if other.is_up and not other.ejection_count]
--- /dev/null
+++ b/api_gateway/decisions/load_sampling.py
@@ -0,0 +1,136 @@
+"""What the ends of attempts tell of the load on the back end, and the admission that follows from it."""
+
+from __future__ import annotations
+
+import math
+
+from api_gateway.decisions.admission import FEW_SAMPLES as FEW_FOR_OVERDUE
+from api_gateway.decisions.admission import OVERDUE_OBJECTIVE_PART, AdmissionController
+from api_gateway.decisions.occupancy import FEW_SAMPLES
+from api_gateway.decisions.outlier_detection import OutlierDetector
+from api_gateway.decisions.pending_requests import Attempt, PendingRequest, PendingRequests
+from api_gateway.decisions.rate_limited_log import RateLimitedLog
+from api_gateway.decisions.retry import CONNECTION_FAILURES
+from api_gateway.decisions.subset import EndpointSubset
+from api_gateway.decisions.subset_sizing import PRESSED_FRACTION
+from api_gateway.decisions.traffic import TrafficRates
+from api_gateway.decisions.uptime import SWEEP_INTERVAL_MS, SweepTimer, Uptime
+from api_gateway.model.events import AttemptEnded
+from api_gateway.model.results import AttemptResult
+from api_gateway.model.settings import Settings
+
+MAX_SAMPLES_PER_UPDATE = 125  # outcomes after which admission is updated before the next sweep (design page)
+CHANCE_STANDARD_DEVIATIONS = 2.0  # by which the attempts in flight may differ from their mean by chance
+UNINFORMATIVE = CONNECTION_FAILURES | {
+    AttemptResult.CANCELLED,
+    AttemptResult.MALFORMED_RESPONSE,
+    AttemptResult.LOCAL_LIMIT,
+    AttemptResult.NOT_STARTED,
+}
+
+
+class LoadSampler:
+    """Turns the ends of attempts into samples of occupancy.
+
+    Args:
+        settings: The gateway's settings.
+        admission: What the samples decide.
+        pending: The requests with attempts.
+        subset: The endpoints that the gateway works with.
+        outliers: Knows which endpoints are no measure of the load.
+        traffic: The gateway's rates.
+        uptime: How long the gateway has been up.
+        sweep_timer: Knows when this process was stalled.
+        log: Where overload is logged.
+    """
+
+    def __init__(
+        self,
+        settings: Settings,
+        admission: AdmissionController,
+        pending: PendingRequests,
+        subset: EndpointSubset,
+        outliers: OutlierDetector,
+        traffic: TrafficRates,
+        uptime: Uptime,
+        sweep_timer: SweepTimer,
+        log: RateLimitedLog,
+    ) -> None:
+        self._longest_objective_ms = max(c.latency_objective_ms for c in settings.classes)
+        self._admission = admission
+        self._pending = pending
+        self._subset = subset
+        self._outliers = outliers
+        self._traffic = traffic
+        self._uptime = uptime
+        self._sweep_timer = sweep_timer
+        self._log = log
+
+    def record_outcome(
+        self, pending: PendingRequest, attempt: Attempt, event: AttemptEnded, now_ms: float
+    ) -> None:
+        """Take in the end of an attempt."""
+        occupancy = self._admission.occupancy
+        latency = self._sample(pending, attempt, event, now_ms)
+        occupancy.classes[pending.class_name].end_attempt(attempt.block, latency, now_ms)
+        if occupancy.pending_samples >= MAX_SAMPLES_PER_UPDATE:
+            self.update_admission(now_ms)
+
+    def _sample(
+        self, pending: PendingRequest, attempt: Attempt, event: AttemptEnded, now_ms: float
+    ) -> float | None:
+        """Record a sample of occupancy.
+
+        Returns:
+            The latency in parts of the objective; None if the end of the attempt does not tell it.
+        """
+        if attempt.started_at_ms < self._sweep_timer.stalled_at_ms or event.result in UNINFORMATIVE:
+            return None
+        if self._outliers.is_outlier(attempt.endpoint):
+            return None  # a few bad endpoints would shed load for all; they are ejected instead
+        occupancy, class_name = self._admission.occupancy, pending.class_name
+        if event.result in (AttemptResult.OK, AttemptResult.ERROR):
+            latency = min(event.duration_ms / pending.request_class.latency_objective_ms, 1.0)
+            self._record_response(class_name, latency, now_ms)
+            return latency
+        if event.result is AttemptResult.TIMED_OUT:
+            is_overload = occupancy.record_timeout(class_name)
+            if is_overload and occupancy.classes[class_name].may_miss_objective_when_idle:
+                self._traffic.record_completion()
+            return 1.0 if is_overload else None
+        occupancy.record_overload()
+        return None
+
+    def _record_response(self, class_name: str, latency: float, now_ms: float) -> None:
+        """Record an answer, beside the queueing delay that the attempts in flight predict (Little's law)."""
+        occupancy = self._admission.occupancy
+        completions = self._traffic.completion_rate * self._uptime.age_ms(now_ms)
+        trust = min(
+            completions / (3 * FEW_SAMPLES), 1.0
+        )  # predicted from two or three completions it is noise
+        delay_ms, chance_ms = self._predicted_delay_ms()
+        occupancy.record_response(class_name, latency, delay_ms, chance_ms, trust)
+
+    def _predicted_delay_ms(self) -> tuple[float, float]:
+        """Return the queueing delay of a new attempt, and how much of it may be chance, in milliseconds."""
+        rate, baseline_ms = self._traffic.completion_rate, self._admission.occupancy.baseline_ms
+        if rate <= 0:
+            return 0.0, 0.0
+        in_flight = self._pending.in_flight - sum(e.in_flight for e in self._subset.ejected)
+        chance_ms = CHANCE_STANDARD_DEVIATIONS * math.sqrt(baseline_ms / rate)
+        return in_flight / rate - baseline_ms, chance_ms
+
+    def update_admission(self, now_ms: float) -> None:
+        """Update the fraction of requests admitted from the samples so far."""
+        occupancy = self._admission.occupancy
+        if not occupancy.update(self._admission.fraction) and not self._pending:
+            # With few requests near the minimal fraction, occupancy would stay high long after an overload.
+            occupancy.decay(1 - SWEEP_INTERVAL_MS / self._longest_objective_ms)
+        overdue = 0
+        if occupancy.sample_count < FEW_FOR_OVERDUE:
+            overdue = self._pending.count_overdue(OVERDUE_OBJECTIVE_PART, now_ms)
+        self._admission.update(overdue)
+        fraction = self._admission.fraction
+        if fraction < PRESSED_FRACTION:
+            details = f"occupancy={occupancy.smoothed:.2f} admitted_fraction={fraction:.2f}"
+            self._log.write("load_shedding", details, now_ms)
--- a/api_gateway/decisions/occupancy.py
+++ b/api_gateway/decisions/occupancy.py
@@ -1,9 +1,9 @@
-"""Occupancy of the back end: latency over the class's aim, read by each class's own yardstick.
+"""Occupancy of the back end: latency as a part of the class's objective, against the class's own baseline.
 
-How much of its aim a class takes on hosts that nobody presses belongs to the deployment: a tenth here, a half
-there. Where that is more than Q_MIN, occupancy counts from there: no class is pressure by its work alone.
+How much of its objective a class takes on idle endpoints differs between deployments. Where that baseline is
+above `MIN_SHED_OCCUPANCY`, occupancy counts from the baseline: no class is overload by its work alone.
 
-Source: the design's q (latency over the aim, capped at 1; refusals as full, time-outs at 1).
+Source: the design's q (latency over the objective, capped at 1; rejections as 1, timeouts as 1).
 """
 
 from __future__ import annotations
@@ -13,185 +13,248 @@
 
 from api_gateway.model.settings import RequestClass
 
-OUTCOMES_KEPT = 20.0  # outcomes in the memory of q, and requests in a block of one class
-FEW = 5.0  # outcomes below which an estimate weighs less
-INTERVAL_WEIGHT = 0.3  # most that one interval's mean weighs in q
-Q_MIN = 0.2  # occupancy up to which nothing is shed (design page: thresholds are open)
-UNPRESSED_MAX = 0.45  # part of the aim above which no answers pass for unpressed ones, even at a start
-BLOCK_MS = 1000.0  # time in which the requests of a block are sent, unless there are many: queues last less
-BLOCK_MOST = 80.0  # requests that are enough for a block in any time
-SPREAD_KEPT = 100.0  # answers in the memory of how much the shares of a class vary
-NOISE_BOUND = 3.0  # standard deviations of q that are chance
-BLOCK_BOUND = 3.0  # standard errors by which the least of the means of blocks lies too low
-RISE_MS = 300000.0  # time in which the unpressed share follows answers that stay slow
-PATIENCE = 4.0  # usual latencies: one in 50 exponential answers takes longer
-FORETOLD = 0.5  # weight of what the requests out foretell beside what an answer took
+MIN_SHED_OCCUPANCY = 0.2  # Qmin of the design: occupancy up to which all is admitted
+REMEMBERED_SAMPLES = 20.0  # memory of the smoothed occupancy, and requests in a block of one class
+FEW_SAMPLES = 5.0  # below so many an estimate weighs less
+MAX_INTERVAL_WEIGHT = 0.3  # most that the mean of one interval weighs in the smoothed occupancy
+MAX_BASELINE = 0.45  # part of the objective above which no answers count as a baseline
+BLOCK_DURATION_MS = (
+    1000.0  # over which the requests of a block are sent, so that queues come and go within it
+)
+BLOCK_MAX_REQUESTS = 80.0  # requests that are enough for a block in any time
+REMEMBERED_SPREAD_SAMPLES = 100.0  # memory of how much the latencies of a class vary
+NOISE_STANDARD_DEVIATIONS = 3.0  # distance from the baseline within which occupancy is taken for chance
+BASELINE_STANDARD_ERRORS = 3.0  # by which the least of several means lies too low
+BASELINE_RISE_MS = 300000.0  # time in which the baseline follows answers that stay slow
+LOST_RESPONSE_LATENCIES = 4.0  # after so many typical latencies an answer is taken for lost
+PREDICTION_WEIGHT = 0.5  # weight of the predicted queueing delay beside the latency of an answer
 
 
 class LatencyBlock:
-    """Requests of one class in the order in which they were sent: among those answered at any moment the
-    quick ones are too many."""
+    """Requests of one class in the order in which they were sent.
 
-    def __init__(self, began_ms: float) -> None:
-        self.began_ms = began_ms
-        self.sent = self.waiting = self.answered = 0
-        self.total = 0.0
+    A baseline is learned from whole blocks: among the requests answered at any moment the fast ones are
+    over-represented.
+
+    Args:
+        began_at_ms: When its first request was sent.
+    """
+
+    def __init__(self, began_at_ms: float) -> None:
+        self.began_at_ms = began_at_ms
+        self.sent = 0
+        self.in_flight = 0
+        self.answered = 0
+        self.latency_sum = 0.0  # in parts of the objective
 
     def is_full(self, now_ms: float) -> bool:
         """Whether it has enough requests, over a time long enough for queues to come and go."""
-        least = OUTCOMES_KEPT if now_ms - self.began_ms >= BLOCK_MS else BLOCK_MOST
-        return self.sent >= least
+        elapsed_ms = now_ms - self.began_at_ms
+        needed = REMEMBERED_SAMPLES if elapsed_ms >= BLOCK_DURATION_MS else BLOCK_MAX_REQUESTS
+        return self.sent >= needed
 
 
 class ClassLatency:
-    """The part of its aim that one class takes: lately, and while its hosts are not pressed."""
+    """Latency of one request class in parts of its objective: recent, and on idle endpoints.
+
+    Args:
+        latency_objective_ms: The objective of the class.
+    """
 
     def __init__(self, latency_objective_ms: float) -> None:
         self.latency_objective_ms = latency_objective_ms
         self.count = 0
-        self.mean = 0.0  # of the shares of the last OUTCOMES_KEPT answers or so
-        self.variance = 0.0  # of the last SPREAD_KEPT
-        self.unpressed: float | None = None  # None until a block is full
-        self.error = 0.0  # standard error of a block's mean
-        self.block: LatencyBlock | None = None
-        self.closed_ms = 0.0  # when the last block was full
-
-    def send(self, now_ms: float) -> LatencyBlock:
-        """A request is sent; the block that it belongs to."""
-        if self.block is None or self.block.is_full(now_ms):
-            self.block = LatencyBlock(now_ms)
-        self.block.sent += 1
-        self.block.waiting += 1
-        return self.block
-
-    def end(self, block: LatencyBlock, share: float | None, now_ms: float) -> None:
-        """A request of a block ended, with `share` of its aim taken (None: it tells nothing of that)."""
-        block.waiting -= 1
-        if share is not None:
+        self.mean = 0.0
+        self.variance = 0.0
+        self.learned_baseline: float | None = None  # None until a block is complete
+        self.standard_error = 0.0  # of the mean of a block
+        self._block: LatencyBlock | None = None
+        self._block_completed_at_ms = 0.0
+
+    def start_attempt(self, now_ms: float) -> LatencyBlock:
+        """Note an attempt, and return the block that it belongs to."""
+        if self._block is None or self._block.is_full(now_ms):
+            self._block = LatencyBlock(now_ms)
+        self._block.sent += 1
+        self._block.in_flight += 1
+        return self._block
+
+    def end_attempt(self, block: LatencyBlock, latency: float | None, now_ms: float) -> None:
+        """Note the end of an attempt.
+
+        Args:
+            block: What `start_attempt` returned.
+            latency: Its latency in parts of the objective; None if it tells nothing.
+            now_ms: The time of its end.
+        """
+        block.in_flight -= 1
+        if latency is not None:
             block.answered += 1
-            block.total += share
-            self._note(share)
-        if not block.waiting and block.is_full(now_ms) and 2 * block.answered >= block.sent:
-            self._learn(block, now_ms)
+            block.latency_sum += latency
+            self._record(latency)
+        if not block.in_flight and block.is_full(now_ms) and 2 * block.answered >= block.sent:
+            self._learn_baseline(block, now_ms)
 
-    def _note(self, share: float) -> None:
+    def _record(self, latency: float) -> None:
         self.count += 1
-        offset = share - self.mean
-        self.mean += offset * max(1 / self.count, 1 / OUTCOMES_KEPT)
-        self.variance += (offset * offset - self.variance) * max(1 / self.count, 1 / SPREAD_KEPT)
-
-    def _learn(self, block: LatencyBlock, now_ms: float) -> None:
-        """The least mean of all blocks is the unpressed share; where answers stay slow it rises in time."""
-        if block is self.block:
-            self.block = None
-        mean = block.total / block.answered
-        self.error = self.spread / math.sqrt(block.answered)
-        if self.unpressed is None or mean < self.unpressed:
-            self.unpressed = mean
+        offset = latency - self.mean
+        self.mean += offset * max(1 / self.count, 1 / REMEMBERED_SAMPLES)
+        self.variance += (offset * offset - self.variance) * max(
+            1 / self.count, 1 / REMEMBERED_SPREAD_SAMPLES
+        )
+
+    def _learn_baseline(self, block: LatencyBlock, now_ms: float) -> None:
+        """Lower the baseline to the least mean of all blocks; raise it slowly where answers stay slow."""
+        if block is self._block:
+            self._block = None
+        mean = block.latency_sum / block.answered
+        self.standard_error = self.standard_deviation / math.sqrt(block.answered)
+        if self.learned_baseline is None or mean < self.learned_baseline:
+            self.learned_baseline = mean
         else:
-            elapsed = now_ms - self.closed_ms
-            self.unpressed += (mean - self.unpressed) * min(elapsed / RISE_MS, 1.0)
-        self.closed_ms = now_ms
+            elapsed_ms = now_ms - self._block_completed_at_ms
+            self.learned_baseline += (mean - self.learned_baseline) * min(elapsed_ms / BASELINE_RISE_MS, 1.0)
+        self._block_completed_at_ms = now_ms
 
     @property
-    def base(self) -> float:
-        """The unpressed share; until a block is full, what answers took so far. The least of some means lies
-        a few errors too low, which matters where it is well over Q_MIN."""
-        if self.unpressed is None:
-            return min(self.mean, UNPRESSED_MAX)
-        return min(self.unpressed + self.nearness * BLOCK_BOUND * self.error, UNPRESSED_MAX)
+    def baseline(self) -> float:
+        """Latency on idle endpoints, in parts of the objective; until a block is complete the recent mean.
+
+        The least of several means lies some standard errors too low, which matters for a high baseline only.
+        """
+        if self.learned_baseline is None:
+            return min(self.mean, MAX_BASELINE)
+        correction = self.baseline_excess * BASELINE_STANDARD_ERRORS * self.standard_error
+        return min(self.learned_baseline + correction, MAX_BASELINE)
 
     @property
-    def nearness(self) -> float:
-        """How far the unpressed share lies from Q_MIN (0) to its double and beyond (1)."""
-        if self.unpressed is None:
+    def baseline_excess(self) -> float:
+        """How far the baseline lies above `MIN_SHED_OCCUPANCY`: 0 up to it, 1 from its double on."""
+        if self.learned_baseline is None:
             return 0.0
-        return min(max(self.unpressed / Q_MIN - 1.0, 0.0), 1.0)
+        return min(max(self.learned_baseline / MIN_SHED_OCCUPANCY - 1.0, 0.0), 1.0)
 
     @property
-    def spread(self) -> float:
-        """Standard deviation of a share; few answers are taken to vary as much as their mean."""
-        return math.sqrt((self.variance * self.count + self.mean**2 * FEW) / (self.count + FEW))
+    def standard_deviation(self) -> float:
+        """Standard deviation of a latency; few answers are taken to vary as much as their mean."""
+        weighted = self.variance * self.count + self.mean**2 * FEW_SAMPLES
+        return math.sqrt(weighted / (self.count + FEW_SAMPLES))
 
     @property
-    def reaches_aim(self) -> bool:
-        """Whether answers of usual work miss the aim now and then with nothing wrong."""
-        return PATIENCE * self.base >= 1.0
+    def may_miss_objective_when_idle(self) -> bool:
+        """Whether answers of typical work miss the objective now and then on idle endpoints."""
+        return LOST_RESPONSE_LATENCIES * self.baseline >= 1.0
 
-    def occupancy(self, share: float) -> float:
-        """What it says of the hosts that an answer took `share` of the aim: the part beyond the unpressed
-        share, or Q_MIN where that is more, counts from Q_MIN."""
-        return share - max(self.base - Q_MIN, 0.0)
+    def occupancy(self, latency: float) -> float:
+        """Return the occupancy that a latency shows: what lies above the baseline counts."""
+        return latency - max(self.baseline - MIN_SHED_OCCUPANCY, 0.0)
 
 
 class Occupancy:
-    """The smoothed occupancy q of the back end, from this gateway's own outcomes."""
+    """The smoothed occupancy of the back end, from this gateway's own attempts.
+
+    Args:
+        classes: The request classes.
+    """
 
     def __init__(self, classes: Iterable[RequestClass]) -> None:
         self.classes = {c.name: ClassLatency(c.latency_objective_ms) for c in classes}
-        self.q = 0.0
-        self.noise = 0.0  # variance of q that comes of single answers differing
-        self.seen = 0  # samples that q holds
-        self.good = 0.0  # mean sample of the last good answers
-        self.pending = 0  # samples since the last update, their sum and variance
-        self.pending_sum = self.pending_variance = 0.0
-        self.nearness = 0.0  # of the last answers' classes, in the mean
-        self.unpressed_ms = 0.0  # what the last answers take while nothing waits, in the mean
-        self.lost = 0.0  # share of the answers that never came beside quick ones
-
-    def note_answer(self, name: str, share: float, wait_ms: float, chance_ms: float, trust: float) -> None:
-        """An answer of class `name` took `share` of its aim. The requests out foretell a wait of `wait_ms`
-        beyond the unpressed latency, give or take `chance_ms`, which weighs by `trust` (0 to 1)."""
-        latency = self.classes[name]
-        self.unpressed_ms += (latency.base * latency.latency_objective_ms - self.unpressed_ms) / OUTCOMES_KEPT
-        self.nearness += (latency.nearness - self.nearness) / OUTCOMES_KEPT
-        sample = latency.occupancy(share)
-        weight = 0.0  # departures lag at a start, and what may be chance foretells nothing
-        if latency.unpressed is not None and abs(wait_ms) > latency.nearness * chance_ms:
-            weight = FORETOLD * trust * (1.0 - latency.nearness * chance_ms / abs(wait_ms))
-        variance = latency.spread**2
-        self.good += (sample - self.good) / FEW
-        self.lost -= self.lost / (4 * FEW)
-        foretold = latency.occupancy(min(latency.base + wait_ms / latency.latency_objective_ms, 1.0))
-        self._add(sample + weight * (foretold - sample), (1 - weight) ** 2 * variance)
-
-    def note_timeout(self, name: str) -> bool:
-        """No answer in time: whether it was late. While others come as usual it is lost on its way, or stuck
-        on a single host, unless usual work reaches the aim by itself."""
-        latency = self.classes[name]
-        if not latency.reaches_aim and self.good < Q_MIN:
-            self.lost += (1 - self.lost) / (4 * FEW)
+        self.smoothed = 0.0  # q of the design
+        self.sample_count = 0
+        self.pending_samples = 0  # since the last update
+        self.recent_good = 0.0  # mean of the last answers in time
+        self.lost_response_ratio = 0.0  # responses that never came while others were fast
+        self.baseline_ms = 0.0  # latency of the last answers' classes on idle endpoints, in the mean
+        self._pending_sum = 0.0
+        self._pending_variance = 0.0
+        self._noise_variance = 0.0  # of the smoothed occupancy, by single answers that differ
+        self._baseline_excess = 0.0  # of the last answers' classes, in the mean
+
+    def record_response(
+        self, class_name: str, latency: float, predicted_delay_ms: float, chance_delay_ms: float, trust: float
+    ) -> None:
+        """Take in an answer.
+
+        Args:
+            class_name: Its request class.
+            latency: Its latency in parts of the objective.
+            predicted_delay_ms: Queueing delay beyond the baseline that the attempts in flight predict for a
+                new one; below 0 for less than the baseline.
+            chance_delay_ms: How much of that may be chance.
+            trust: Weight of the prediction, 0 to 1.
+        """
+        class_latency = self.classes[class_name]
+        baseline = class_latency.baseline
+        excess = class_latency.baseline_excess
+        self.baseline_ms += (
+            baseline * class_latency.latency_objective_ms - self.baseline_ms
+        ) / REMEMBERED_SAMPLES
+        self._baseline_excess += (excess - self._baseline_excess) / REMEMBERED_SAMPLES
+        sample = class_latency.occupancy(latency)
+        weight = 0.0  # answers lag behind at a start, and what may be chance predicts nothing
+        if class_latency.learned_baseline is not None and abs(predicted_delay_ms) > excess * chance_delay_ms:
+            weight = PREDICTION_WEIGHT * trust * (1.0 - excess * chance_delay_ms / abs(predicted_delay_ms))
+        variance = class_latency.standard_deviation**2
+        self.recent_good += (sample - self.recent_good) / FEW_SAMPLES
+        self.lost_response_ratio -= self.lost_response_ratio / (4 * FEW_SAMPLES)
+        predicted_latency = min(baseline + predicted_delay_ms / class_latency.latency_objective_ms, 1.0)
+        predicted = class_latency.occupancy(predicted_latency)
+        self._add(sample + weight * (predicted - sample), (1 - weight) ** 2 * variance)
+
+    def record_timeout(self, class_name: str) -> bool:
+        """Take in an attempt with no answer in time.
+
+        While others are answered as usual its response was lost, or a single endpoint hangs, unless typical
+        work of the class misses the objective by itself.
+
+        Returns:
+            Whether it counts as overload.
+        """
+        class_latency = self.classes[class_name]
+        if not class_latency.may_miss_objective_when_idle and self.recent_good < MIN_SHED_OCCUPANCY:
+            self.lost_response_ratio += (1 - self.lost_response_ratio) / (4 * FEW_SAMPLES)
             return False
-        self.note_full()
+        self.record_overload()
         return True
 
-    def note_full(self) -> None:
-        """A host turned a request away, or left it without an answer."""
+    def record_overload(self) -> None:
+        """Take in an attempt that an endpoint rejected or left without an answer."""
         self._add(1.0, 0.0)
 
     def _add(self, sample: float, variance: float) -> None:
-        self.pending += 1
-        self.pending_sum += sample
-        self.pending_variance += variance
+        self.pending_samples += 1
+        self._pending_sum += sample
+        self._pending_variance += variance
+
+    def update(self, admitted_fraction: float) -> bool:
+        """Take the samples since the last update into the smoothed occupancy.
 
-    def update(self, fraction: float) -> bool:
-        """Take what came since the last update into q, by the requests asked for it; whether any came."""
-        count = self.pending
+        Args:
+            admitted_fraction: Part of the requests that was admitted: the memory counts requests received.
+
+        Returns:
+            Whether there were any samples.
+        """
+        count = self.pending_samples
         if not count:
             return False
-        self.seen += count
-        weight = count / self.seen
-        if self.seen > OUTCOMES_KEPT:
-            weight = min(INTERVAL_WEIGHT, count / (OUTCOMES_KEPT * fraction))
-        mean = self.pending_sum / count
-        self.q = min(max((1 - weight) * self.q + weight * mean, 0.0), 1.0)
-        variance = self.pending_variance / count**2
-        self.noise = (1 - weight) ** 2 * self.noise + weight**2 * variance
-        self.pending = 0
-        self.pending_sum = self.pending_variance = 0.0
+        self.sample_count += count
+        weight = count / self.sample_count
+        if self.sample_count > REMEMBERED_SAMPLES:
+            weight = min(MAX_INTERVAL_WEIGHT, count / (REMEMBERED_SAMPLES * admitted_fraction))
+        mean = self._pending_sum / count
+        self.smoothed = min(max((1 - weight) * self.smoothed + weight * mean, 0.0), 1.0)
+        variance = self._pending_variance / count**2
+        self._noise_variance = (1 - weight) ** 2 * self._noise_variance + weight**2 * variance
+        self.pending_samples = 0
+        self._pending_sum = self._pending_variance = 0.0
         return True
 
+    def decay(self, factor: float) -> None:
+        """Lower the smoothed occupancy while no samples come, so that the end of an overload is noticed."""
+        self.smoothed *= factor
+
     @property
-    def chance(self) -> float:
-        """How far q may lie over Q_MIN with nothing wrong, where classes are near their aims."""
-        return self.nearness * NOISE_BOUND * math.sqrt(self.noise)
+    def noise(self) -> float:
+        """How far the smoothed occupancy may lie above the baseline with nothing wrong."""
+        return self._baseline_excess * NOISE_STANDARD_DEVIATIONS * math.sqrt(self._noise_variance)
--- /dev/null
+++ b/api_gateway/decisions/outlier_detection.py
@@ -0,0 +1,147 @@
+"""Outlier detection: endpoints that fail or are far slower than the others are ejected, and probed again.
+
+An ejected endpoint comes back with its first success. It is probed by single requests: the first one
+`EJECTION_BACKOFF_MS` after its ejection, the next one twice as long after each failure.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from api_gateway.decisions.endpoints import EndpointState, EndpointTable
+from api_gateway.decisions.rate_limited_log import RateLimitedLog
+from api_gateway.model.events import AttemptEnded
+from api_gateway.model.results import AttemptResult
+
+EJECTION_BACKOFF_MS = 500.0
+MAX_EJECTION_BACKOFF_MS = 4000.0
+MAX_EJECTION_COUNT = 10
+MAX_CONSECUTIVE_FAILURES = 3  # failures, resets or slow timeouts in a row that eject an endpoint
+OUTLIER_LATENCY_RATIO = 2.5  # an endpoint that is so many times slower than the median is an outlier
+LATENCY_RATIO_WEIGHT = 0.2  # weight of one result in the running latency ratio
+MAX_LATENCY_RATIO = 20.0
+MIN_FAILURE_LATENCY_RATIO = 2.0  # what an attempt without a good answer counts as, at least
+PROBES_PER_REQUEST = 0.05  # probes of ejected endpoints earned by each admitted request
+MAX_SAVED_PROBES = 2.0
+
+RESETS = frozenset((AttemptResult.CONNECTION_RESET, AttemptResult.NOT_SENT))
+FAILURES = frozenset((AttemptResult.ERROR, AttemptResult.TIMED_OUT, AttemptResult.OVERLOADED))
+
+
+class ProbeBudget:
+    """Token bucket of the requests that may probe an ejected endpoint."""
+
+    def __init__(self) -> None:
+        self.tokens = MAX_SAVED_PROBES
+
+    def earn(self) -> None:
+        """Add what one admitted request earns."""
+        self.tokens = min(self.tokens + PROBES_PER_REQUEST, MAX_SAVED_PROBES)
+
+    def has_token(self) -> bool:
+        """Whether a probe may be sent."""
+        return self.tokens >= 1
+
+    def spend(self) -> None:
+        """Take the token of a probe."""
+        self.tokens -= 1
+
+
+class OutlierDetector:
+    """Judges endpoints by the results of their attempts.
+
+    Args:
+        table: The endpoints.
+        log: Where ejections are logged.
+
+    Attributes:
+        median_latency_ratio: Median over the subset, 1 at least.
+        is_majority_ejected: Whether over half of the subset is ejected: then none of them is an outlier.
+    """
+
+    def __init__(self, table: EndpointTable, log: RateLimitedLog) -> None:
+        self._table = table
+        self._log = log
+        self.median_latency_ratio = 1.0
+        self.is_majority_ejected = False
+
+    def sweep(self, subset: Iterable[EndpointState], ejected: int) -> None:
+        """Compare the endpoints of the subset anew.
+
+        Args:
+            subset: All of its endpoints.
+            ejected: How many of them are ejected.
+        """
+        ratios = sorted(endpoint.latency_ratio for endpoint in subset)
+        self.median_latency_ratio = max(ratios[len(ratios) // 2], 1.0) if ratios else 1.0
+        self.is_majority_ejected = 2 * ejected > len(ratios)
+
+    def is_outlier(self, endpoint: EndpointState) -> bool:
+        """Whether an endpoint is worse than the others; where all are slow or fail, none is."""
+        is_slow = endpoint.latency_ratio > OUTLIER_LATENCY_RATIO * self.median_latency_ratio
+        return is_slow or (endpoint.ejection_count > 0 and not self.is_majority_ejected)
+
+    def record_outcome(
+        self,
+        endpoint: EndpointState,
+        event: AttemptEnded,
+        expected_ms: float,
+        objective_ms: float,
+        now_ms: float,
+    ) -> None:
+        """Note what the end of an attempt says of its endpoint.
+
+        Args:
+            endpoint: Where it was sent.
+            event: How it ended.
+            expected_ms: The typical latency of such a request.
+            objective_ms: The latency objective of its class.
+            now_ms: The time of its end.
+        """
+        if event.result is AttemptResult.OK:
+            self._record_success(endpoint, event.duration_ms / expected_ms, now_ms)
+        elif event.result is AttemptResult.CONNECT_FAILED:
+            # A reset is the end of one connection; an endpoint that is down refuses the next connect.
+            endpoint.connect_failed = True
+            self.eject(endpoint, now_ms)
+        elif event.result in RESETS:
+            self._record_failure(endpoint, now_ms)
+        elif event.result in FAILURES:
+            ratio = max(objective_ms / expected_ms, MIN_FAILURE_LATENCY_RATIO)
+            self._record_latency(endpoint, ratio)
+            is_slow = event.result is AttemptResult.TIMED_OUT and self.is_outlier(endpoint)
+            counts = is_slow or event.result is AttemptResult.ERROR
+            self._record_failure(endpoint, now_ms, failures=int(counts))
+
+    def _record_success(self, endpoint: EndpointState, latency_ratio: float, now_ms: float) -> None:
+        if endpoint.connect_failed:
+            # It has restarted long before the endpoint list tells of it.
+            endpoint.slow_start_from_ms = max(endpoint.slow_start_from_ms, now_ms)
+            endpoint.connect_failed = False
+            self._table.mark_changed()
+        if endpoint.ejection_count:
+            self._table.mark_changed()
+        endpoint.consecutive_failures = endpoint.ejection_count = 0
+        self._record_latency(endpoint, latency_ratio)
+        endpoint.idle_connection_at_ms = now_ms
+
+    @staticmethod
+    def _record_latency(endpoint: EndpointState, ratio: float) -> None:
+        offset = min(ratio, MAX_LATENCY_RATIO) - endpoint.latency_ratio
+        endpoint.latency_ratio += LATENCY_RATIO_WEIGHT * offset
+
+    def _record_failure(self, endpoint: EndpointState, now_ms: float, failures: int = 1) -> None:
+        endpoint.consecutive_failures += failures
+        if endpoint.ejection_count or endpoint.consecutive_failures >= MAX_CONSECUTIVE_FAILURES:
+            self.eject(endpoint, now_ms)
+
+    def eject(self, endpoint: EndpointState, now_ms: float) -> None:
+        """Eject an endpoint, or double its backoff if a probe of it failed."""
+        if endpoint.ejection_count and now_ms < endpoint.ejected_until_ms:
+            return
+        backoff_ms = min(EJECTION_BACKOFF_MS * 2**endpoint.ejection_count, MAX_EJECTION_BACKOFF_MS)
+        endpoint.ejected_until_ms = now_ms + backoff_ms
+        endpoint.ejection_count = min(endpoint.ejection_count + 1, MAX_EJECTION_COUNT)
+        self._table.mark_changed()
+        details = f"endpoint={endpoint.name} ejections={endpoint.ejection_count} backoff_ms={backoff_ms:.0f}"
+        self._log.write("endpoint_ejected", details, now_ms)
--- /dev/null
+++ b/api_gateway/decisions/request_flow.py
@@ -0,0 +1,246 @@
+"""The way of a request: quota and ceiling, admission, choice of an endpoint, attempts, one final answer."""
+
+from __future__ import annotations
+
+from api_gateway.decisions.admission import AdmissionController
+from api_gateway.decisions.attempt_flow import AttemptFlow
+from api_gateway.decisions.endpoints import EndpointTable
+from api_gateway.decisions.latency import SpentTime, TypicalLatency
+from api_gateway.decisions.occupancy import MIN_SHED_OCCUPANCY
+from api_gateway.decisions.outlier_detection import ProbeBudget
+from api_gateway.decisions.pending_requests import PendingRequest, PendingRequests
+from api_gateway.decisions.rejections import Rejections
+from api_gateway.decisions.retry import RetryBudget
+from api_gateway.decisions.selection import EndpointSelector
+from api_gateway.decisions.tenants import Tenant, TenantTable
+from api_gateway.decisions.traffic import TrafficRates
+from api_gateway.decisions.uptime import SWEEP_INTERVAL_MS
+from api_gateway.decisions.usage_reporting import UsageReporter
+from api_gateway.model.events import ClientDisconnected, CounterReply, RequestReceived
+from api_gateway.model.results import CounterResult, RejectReason
+from api_gateway.model.settings import Plan, RequestClass, Settings
+
+OVER_QUOTA_OCCUPANCY_PART = (
+    0.5  # part of the shedding threshold below which requests beyond a quota are admitted
+)
+EARLY_SWEEPS = 2  # sweeps that a request must have time for beside a counter call, to wait for a total
+
+
+class RequestFlow:
+    """Takes each request from its receipt to its first attempt, or rejects it.
+
+    It holds no state of its own: it asks the owners of quotas, admission and endpoints in turn.
+
+    Args:
+        settings: The gateway's settings.
+        attempts: Takes a request with attempts to its answer.
+        rejections: Answers that a request was not served.
+        pending: The requests with attempts.
+        tenants: The tenants.
+        reporter: Makes the counter calls.
+        admission: Sheds load.
+        table: All endpoints.
+        selector: Chooses among them.
+        retry_budget: Earns retries.
+        probe_budget: Earns probes of ejected endpoints.
+        traffic: The gateway's rates.
+        latency: Typical latencies of the classes.
+    """
+
+    def __init__(
+        self,
+        settings: Settings,
+        attempts: AttemptFlow,
+        rejections: Rejections,
+        pending: PendingRequests,
+        tenants: TenantTable,
+        reporter: UsageReporter,
+        admission: AdmissionController,
+        table: EndpointTable,
+        selector: EndpointSelector,
+        retry_budget: RetryBudget,
+        probe_budget: ProbeBudget,
+        traffic: TrafficRates,
+        latency: TypicalLatency,
+    ) -> None:
+        self._classes = {request_class.name: request_class for request_class in settings.classes}
+        self._plans = {plan.name: plan for plan in settings.plans}
+        self._reply_timeout_ms = settings.counter_timeout_ms + SWEEP_INTERVAL_MS
+        self._min_wait_ms = settings.counter_timeout_ms + EARLY_SWEEPS * SWEEP_INTERVAL_MS
+        self._attempts = attempts
+        self._rejections = rejections
+        self._pending = pending
+        self._tenants = tenants
+        self._reporter = reporter
+        self._admission = admission
+        self._table = table
+        self._selector = selector
+        self._retry_budget = retry_budget
+        self._probe_budget = probe_budget
+        self._traffic = traffic
+        self._latency = latency
+        self._spent_time = SpentTime(settings.classes)
+
+    # Receipt
+
+    def receive(self, request: RequestReceived, now_ms: float) -> None:
+        """Decide on a request at once, or let it wait for its tenant's total."""
+        if request.request_id in self._pending or self._reporter.is_waiting(request.request_id):
+            return
+        request_class = self._classes.get(request.class_name)
+        plan = self._plans.get(request.plan_name)
+        if request_class is None or plan is None:
+            self._rejections.reject(request.request_id, RejectReason.UNKNOWN_CLASS_OR_PLAN)
+        elif request.time_left_ms <= 0:
+            self._rejections.reject(request.request_id, RejectReason.DEADLINE_PASSED)
+        elif not self._table:
+            self._rejections.reject(request.request_id, RejectReason.NO_ENDPOINTS)
+        else:
+            self._receive_valid(request, request_class, plan, now_ms)
+
+    def _receive_valid(
+        self, request: RequestReceived, request_class: RequestClass, plan: Plan, now_ms: float
+    ) -> None:
+        deadline_at_ms = now_ms + request.time_left_ms
+        objective_at_ms = self._objective_at_ms(request, request_class, deadline_at_ms, now_ms)
+        if objective_at_ms <= now_ms:
+            self._rejections.reject(request.request_id, RejectReason.OBJECTIVE_PASSED)
+            return
+        tenant = self._find_tenant(request, plan, now_ms)
+        if tenant is None:
+            self._rejections.reject(request.request_id, RejectReason.TENANT_TABLE_FULL)
+            return
+        pending = PendingRequest(
+            request=request,
+            request_class=request_class,
+            tenant=tenant,
+            objective_at_ms=objective_at_ms,
+            deadline_at_ms=deadline_at_ms,
+        )
+        has_time = objective_at_ms - now_ms > self._min_wait_ms
+        if not has_time or not self._reporter.needs_total(tenant, request.units, now_ms):
+            self._decide(pending, now_ms, is_admitted=False)
+        elif self._is_admitted(pending):
+            self._reporter.wait_for_total(pending, now_ms)
+        else:
+            self._rejections.reject(request.request_id, RejectReason.LOAD_SHED)
+
+    def _objective_at_ms(
+        self, request: RequestReceived, request_class: RequestClass, deadline_at_ms: float, now_ms: float
+    ) -> float:
+        """Return when an answer becomes worthless: at the deadline if late answers have any weight."""
+        if request_class.late_priority_weight > 0:
+            return deadline_at_ms
+        spent_ms = self._spent_time.before(request, request_class)
+        return min(now_ms + request_class.latency_objective_ms - spent_ms, deadline_at_ms)
+
+    def _find_tenant(self, request: RequestReceived, plan: Plan, now_ms: float) -> Tenant | None:
+        """Return a request's tenant with its quota window up to date; None if no more can be known."""
+        tenant = self._tenants.find(request, plan, now_ms)
+        if tenant is None:
+            return None
+        if plan.quota_rate > 0:
+            window, started_at_ms = tenant.window_at(now_ms)
+            if window != tenant.quota.window:
+                self._reporter.forget_calls(tenant)
+                self._decide_waiting(tenant, now_ms)
+                self._reporter.start_window(tenant, window, started_at_ms)
+        tenant.quota.note_gateway_count(self._tenants.gateway_count(request))
+        return tenant
+
+    # Decision
+
+    def _decide(self, pending: PendingRequest, now_ms: float, *, is_admitted: bool) -> None:
+        """Forward or reject a request.
+
+        Args:
+            pending: The request.
+            now_ms: The time now.
+            is_admitted: Whether admission control has admitted it already.
+        """
+        over_quota = self._quota_violation(pending, now_ms)
+        reason = over_quota
+        if over_quota is None:
+            reason = None if is_admitted or self._is_admitted(pending) else RejectReason.LOAD_SHED
+        elif self._is_served_beyond_quota(pending.tenant.plan):
+            reason = None
+        if reason is None and not self._is_within_ceiling(pending, now_ms):
+            reason = RejectReason.CEILING
+        if reason is None and not self._forward(pending, now_ms, is_over_quota=over_quota is not None):
+            reason = RejectReason.NO_ENDPOINT_AVAILABLE
+        if reason is not None:
+            self._reject_new(pending, reason, is_over_quota=over_quota is not None)
+
+    def _quota_violation(self, pending: PendingRequest, now_ms: float) -> RejectReason | None:
+        """Return which limit of its quota a request goes beyond, if any."""
+        tenant = pending.tenant
+        if tenant.is_at_concurrency_limit():
+            return RejectReason.CONCURRENCY_LIMIT
+        if not tenant.quota.admits(pending.units, now_ms):
+            return RejectReason.OVER_QUOTA
+        return None
+
+    def _is_served_beyond_quota(self, plan: Plan) -> bool:
+        """Whether requests beyond a quota are worth their cost, and the back end has capacity to spare."""
+        threshold = OVER_QUOTA_OCCUPANCY_PART * MIN_SHED_OCCUPANCY
+        is_worthwhile = plan.over_quota_weight > plan.over_quota_cost
+        return is_worthwhile and self._admission.occupancy.smoothed < threshold
+
+    def _is_admitted(self, pending: PendingRequest) -> bool:
+        """Ask admission control for one request."""
+        per_unit_ms = self._latency.per_unit_ms(pending.class_name)
+        return self._admission.admit(pending.request_class, pending.tenant.plan, per_unit_ms, pending.units)
+
+    def _is_within_ceiling(self, pending: PendingRequest, now_ms: float) -> bool:
+        tenant = pending.tenant
+        return tenant.ceiling.admits(pending.units, tenant.quota.gateway_count, now_ms)
+
+    def _forward(self, pending: PendingRequest, now_ms: float, *, is_over_quota: bool) -> bool:
+        """Send an admitted request to an endpoint; False if none may be sent it."""
+        pending.work = self._latency.per_unit_ms(pending.class_name) * max(pending.units, 0.0)
+        self._traffic.record_admitted(pending.work)
+        endpoint = self._selector.select(pending, now_ms) if pending.objective_at_ms > now_ms else None
+        if endpoint is None:
+            return False
+        tenant = pending.tenant
+        self._pending.add(pending)
+        self._retry_budget.earn()
+        self._probe_budget.earn()
+        tenant.ceiling.spend(pending.units)
+        tenant.in_flight += 1
+        if not is_over_quota:
+            tenant.quota.spend(pending.units)
+        self._reporter.report(tenant, now_ms)
+        self._attempts.start(pending, endpoint, now_ms)
+        return True
+
+    def record_counter_reply(self, reply: CounterReply, now_ms: float) -> None:
+        """Take in the end of a counter call, and decide on the requests that waited for it."""
+        tenant = self._reporter.record_reply(reply, now_ms)
+        if tenant is None:
+            return
+        self._decide_waiting(tenant, now_ms)
+        if reply.result is CounterResult.OK:
+            self._reporter.report(tenant, now_ms)
+
+    def decide_overdue(self, now_ms: float) -> None:
+        """Decide on the requests that wait for replies that do not come."""
+        for tenant in self._reporter.overdue_tenants(self._reply_timeout_ms, now_ms):
+            self._decide_waiting(tenant, now_ms)
+
+    def _decide_waiting(self, tenant: Tenant, now_ms: float) -> None:
+        for pending in self._reporter.take_waiting(tenant):
+            self._decide(pending, now_ms, is_admitted=True)
+
+    def disconnect_client(self, event: ClientDisconnected) -> None:
+        """Finish a request that nobody waits for any more."""
+        self._reporter.stop_waiting(event.request_id)
+        pending = self._pending.get(event.request_id)
+        if pending is not None:
+            self._attempts.finish(pending)
+
+    def _reject_new(self, pending: PendingRequest, reason: RejectReason, *, is_over_quota: bool) -> None:
+        """Reject a request with no attempt; beyond a quota it may come again when its units have refilled."""
+        rate = pending.tenant.plan.quota_rate
+        refill_ms = 1000 * pending.units / rate if is_over_quota and rate else 0.0
+        self._rejections.reject(pending.request_id, reason, refill_ms)
--- a/api_gateway/decisions/subset.py
+++ b/api_gateway/decisions/subset.py
@@ -1,77 +1,129 @@
-"""Subsets of a long list of hosts that gateways agree on without talking: a deterministic aperture.
+"""The endpoints that this gateway works with: those that follow its position on the ring.
 
-Hosts and gateways lie on one ring. A gateway works with the hosts that follow its own place, so that what it
-does costs the same beside 50 hosts and beside 11,000, and so that no two choose the same few by chance.
-
-Source: the rings of Finagle's deterministic aperture, as described in its public documentation.
+As many warm endpoints as the subset's size, and the endpoints between them that are warming up or ejected.
 """
 
 from __future__ import annotations
 
-import hashlib
-import heapq
 import math
-from bisect import bisect_left, insort
 from collections.abc import Iterator
-from functools import lru_cache
-
-GOLDEN = (5**0.5 - 1) / 2
-
-
-def place(me: int, fleet_size: int) -> float:
-    """The place of gateway `me` on the ring, 0 <= place < 1; the places of a fleet are evenly spaced.
-
-    Neighbours by number lie far apart: they form one customer's set, and are busy together.
-    """
-    stride = max(round(fleet_size * GOLDEN), 1)
-    while math.gcd(stride, fleet_size) != 1:
-        stride += 1
-    return me * stride % fleet_size / fleet_size
-
-
-@lru_cache(maxsize=16384)
-def digest(text: str) -> int:
-    """A number of 64 bits that is the same for a text in every process."""
-    return int.from_bytes(hashlib.blake2s(text.encode(), digest_size=8).digest(), "big")
-
-
-class Ring:
-    """Hosts in an order that follows from their names alone, zones interleaved in proportion.
-
-    A host's place is its rank among its zone's hosts, so places are even however the hashes fall; one that
-    comes or goes moves each of the others by at most one rank.
+from itertools import chain
+from random import Random
+
+from api_gateway.decisions.endpoints import EndpointState, EndpointTable
+from api_gateway.decisions.ring import gateway_position
+from api_gateway.model.settings import Settings
+
+TARGET_VISIT_INTERVAL_MS = 500.0  # a subset is so large that each endpoint gets one request in this time
+MIN_SIZE = 6
+MAX_SIZE = 256
+RESIZE_FACTOR = 1.25  # least change of the size: each change costs connections
+MAX_CANDIDATES = 32  # endpoints compared for one request: the best of so many is as good as the best of all
+WALK_FACTOR = 8  # endpoints looked at on the ring, in multiples of the size
+WALK_EXTRA = 64  # and so many more
+MAX_WARMING_UP_FACTOR = 2  # endpoints that are warming up, in multiples of the size
+
+
+class EndpointSubset:
+    """The endpoints that this gateway works with, brought up to date when something changes.
+
+    Args:
+        table: All endpoints.
+        settings: The gateway's settings.
+        rng: Source of the draws that spread the first visits to endpoints that have become warm.
+
+    Attributes:
+        size: How many warm endpoints are wanted.
+        visit_interval_ms: Time in which each of its endpoints is visited once.
+        warm: Endpoints at their whole capacity that are not ejected.
+        warming_up: Endpoints in slow start.
+        ejected: Endpoints that are ejected.
     """
 
-    def __init__(self) -> None:
-        self._zones: dict[str, list[tuple[int, str]]] = {}
+    def __init__(self, table: EndpointTable, settings: Settings, rng: Random) -> None:
+        self._table = table
+        self._slow_start_ms = settings.slow_start_ms
+        self._rng = rng
+        self._position = gateway_position(settings.gateway_index, settings.fleet_size)
+        self.size = float(MIN_SIZE)
+        self.visit_interval_ms = TARGET_VISIT_INTERVAL_MS
+        self.warm: list[EndpointState] = []
+        self.warming_up: list[EndpointState] = []
+        self.ejected: list[EndpointState] = []
+        self._next_warm_at_ms = math.inf
+        self._candidates_from = 0
+        self._warming_up_from = 0
+        self._is_resized = False
+        self._revision = -1  # of the table, when the subset was brought up to date
 
     def __len__(self) -> int:
-        return sum(map(len, self._zones.values()))
-
-    def add(self, name: str, zone: str) -> None:
-        """Take a host in; it must not be there already."""
-        insort(self._zones.setdefault(zone, []), (digest(name), name))
-
-    def remove(self, name: str, zone: str) -> None:
-        """Take a host out; it must be there."""
-        hosts = self._zones[zone]
-        del hosts[bisect_left(hosts, (digest(name), name))]
-        if not hosts:
-            del self._zones[zone]
-
-    def walk(self, start: float) -> Iterator[str]:
-        """All hosts once, in the order of their places, from `start` (0 <= start < 1) on and round."""
-        heads = []
-        for zone, hosts in self._zones.items():
-            phase = digest(zone) / 2**64  # else the first hosts of all zones would lie together
-            first = math.ceil(start * len(hosts) - phase)
-            heads.append(((first + phase) / len(hosts), zone, phase, first, first + len(hosts)))
-        heapq.heapify(heads)
-        while heads:
-            _, zone, phase, index, end = heads[0]
-            hosts = self._zones[zone]
-            yield hosts[index % len(hosts)][1]
-            if index + 1 < end:
-                heapq.heapreplace(heads, ((index + 1 + phase) / len(hosts), zone, phase, index + 1, end))
+        """Return the number of endpoints in the subset."""
+        return len(self.warm) + len(self.warming_up) + len(self.ejected)
+
+    def __iter__(self) -> Iterator[EndpointState]:
+        """Iterate over the endpoints of the subset."""
+        return chain(self.warm, self.warming_up, self.ejected)
+
+    def resize(self, wanted: float) -> None:
+        """Set the number of warm endpoints; small changes are left out, since each one costs connections."""
+        wanted = min(max(wanted, MIN_SIZE), MAX_SIZE)
+        is_large_change = wanted > RESIZE_FACTOR * self.size or RESIZE_FACTOR * wanted < self.size
+        if is_large_change or len(self.warm) < MIN_SIZE:
+            self._is_resized = self._is_resized or round(wanted) != round(self.size)
+            self.size = wanted
+
+    def refresh(self, now_ms: float) -> EndpointSubset:
+        """Bring the subset up to date, if anything has changed or an endpoint has become warm.
+
+        Returns:
+            The subset itself.
+        """
+        is_current = self._revision == self._table.revision and not self._is_resized
+        if is_current and now_ms < self._next_warm_at_ms:
+            return self
+        self._revision, self._is_resized = self._table.revision, False
+        self._next_warm_at_ms = math.inf
+        self._select(now_ms)
+        return self
+
+    def _select(self, now_ms: float) -> None:
+        """Walk the ring from this gateway's position, until there are enough warm endpoints."""
+        previously_warm = set(self.warm)
+        warm: list[EndpointState] = []
+        warming_up: list[EndpointState] = []
+        ejected: list[EndpointState] = []
+        max_walked = WALK_FACTOR * self.size + WALK_EXTRA
+        for walked, name in enumerate(self._table.ring.walk(self._position), start=1):
+            endpoint = self._table.available[name]
+            if endpoint.ejection_count:
+                ejected.append(endpoint)
+            elif endpoint.slow_start_from_ms and now_ms < endpoint.slow_start_from_ms + self._slow_start_ms:
+                if len(warming_up) < MAX_WARMING_UP_FACTOR * self.size:
+                    warming_up.append(endpoint)
+                    warm_at_ms = endpoint.slow_start_from_ms + self._slow_start_ms
+                    self._next_warm_at_ms = min(self._next_warm_at_ms, warm_at_ms)
             else:
-                heapq.heappop(heads)
+                warm.append(endpoint)
+                if endpoint not in previously_warm:
+                    self._spread_first_visit(endpoint, now_ms)
+            if len(warm) >= self.size or (walked > max_walked and (warm or warming_up)):
+                break
+        self.warm, self.warming_up, self.ejected = warm, warming_up, ejected
+
+    def _spread_first_visit(self, endpoint: EndpointState, now_ms: float) -> None:
+        """Pretend a recent visit: all gateways find an endpoint warm at once, and would all choose it."""
+        pretended_at_ms = now_ms - self._rng.random() * self.visit_interval_ms
+        endpoint.last_attempt_at_ms = max(endpoint.last_attempt_at_ms, pretended_at_ms)
+
+    def candidates(self) -> list[EndpointState]:
+        """Return the warm endpoints to compare for one request; others the next time."""
+        if len(self.warm) <= MAX_CANDIDATES:
+            return self.warm
+        start = self._candidates_from = (self._candidates_from + MAX_CANDIDATES) % len(self.warm)
+        return (self.warm + self.warm[:MAX_CANDIDATES])[start : start + MAX_CANDIDATES]
+
+    def warming_up_candidates(self) -> list[EndpointState]:
+        """Return the endpoints in slow start to consider for one request, from another one on each time."""
+        count = len(self.warming_up)
+        start = self._warming_up_from = (self._warming_up_from + 1) % count
+        return [self.warming_up[(start + i) % count] for i in range(min(MAX_CANDIDATES, count))]
--- a/api_gateway/model/actions.py
+++ b/api_gateway/model/actions.py
@@ -5,6 +5,8 @@
 import math
 from dataclasses import dataclass
 
+from api_gateway.model.results import RejectReason
+
 
 @dataclass(slots=True, frozen=True)
 class StartAttempt:
@@ -30,10 +32,12 @@
     Attributes:
         request_id: The request.
         retry_after_ms: When the client should come again; 0 to tell nothing.
+        reason: Why it is rejected.
     """
 
     request_id: str
     retry_after_ms: float = 0.0
+    reason: RejectReason = RejectReason.UNSPECIFIED
 
 
 @dataclass(slots=True, frozen=True)
--- a/api_gateway/model/results.py
+++ b/api_gateway/model/results.py
@@ -1,4 +1,4 @@
-"""How attempts and counter calls end."""
+"""How attempts, counter calls and requests that are not served end."""
 
 from __future__ import annotations
 
@@ -53,3 +53,20 @@
             CounterResult.MALFORMED_RESPONSE,
             CounterResult.CONNECTION_LOST,
         )
+
+
+class RejectReason(Enum):
+    """Why a request was rejected: it never ran, and the client may send it again."""
+
+    UNSPECIFIED = "unspecified"
+    UNKNOWN_CLASS_OR_PLAN = "unknown_class_or_plan"
+    NO_ENDPOINTS = "no_endpoints"  # the endpoint list is empty
+    DEADLINE_PASSED = "deadline_passed"
+    OBJECTIVE_PASSED = "objective_passed"  # the client spent the latency objective on earlier requests
+    TENANT_TABLE_FULL = "tenant_table_full"
+    LOAD_SHED = "load_shed"  # the back end is overloaded
+    OVER_QUOTA = "over_quota"
+    CONCURRENCY_LIMIT = "concurrency_limit"  # of the tenant's requests in flight
+    CEILING = "ceiling"  # of the tenant's plan
+    NO_ENDPOINT_AVAILABLE = "no_endpoint_available"  # none may be sent a request now
+    ATTEMPTS_EXHAUSTED = "attempts_exhausted"  # no attempt ran, and no other is worth its cost
--- a/api_gateway/model/settings.py
+++ b/api_gateway/model/settings.py
@@ -6,6 +6,22 @@
 from dataclasses import dataclass
 from enum import Enum
 
+NON_NEGATIVE_PLAN_FIELDS = (
+    "quota_rate",
+    "quota_burst",
+    "ceiling_rate",
+    "ceiling_burst",
+    "ceiling_tolerance",
+    "max_concurrent_requests",
+)
+NON_NEGATIVE_FIELDS = (
+    "slow_start_ms",
+    "overload_multiple",
+    "overload_window_ms",
+    "clock_tick_ms",
+    "max_attempts",
+)
+
 
 class Idempotency(Enum):
     """Whether a request that may have run may be sent again (RFC 9110, section 9.2.2)."""
@@ -155,22 +171,11 @@
                     f"classes[{request_class.name}].latency_objective_ms, deadline_ms: must be above 0"
                 )
         for plan in self.plans:
-            for name in (
-                "quota_rate",
-                "quota_burst",
-                "ceiling_rate",
-                "ceiling_burst",
-                "ceiling_tolerance",
-                "max_concurrent_requests",
-            ):
-                if getattr(plan, name) < 0:
-                    raise ValueError(f"plans[{plan.name}].{name}: must not be negative")
-        for name in (
-            "slow_start_ms",
-            "overload_multiple",
-            "overload_window_ms",
-            "clock_tick_ms",
-            "max_attempts",
-        ):
-            if getattr(self, name) < 0:
-                raise ValueError(f"{name}: must not be negative")
+            _check_not_negative(plan, NON_NEGATIVE_PLAN_FIELDS, f"plans[{plan.name}].")
+        _check_not_negative(self, NON_NEGATIVE_FIELDS, "")
+
+
+def _check_not_negative(owner: Plan | Settings, names: tuple[str, ...], prefix: str) -> None:
+    for name in names:
+        if getattr(owner, name) < 0:
+            raise ValueError(f"{prefix}{name}: must not be negative")
--- a/tests/test_acceptance_terms.py
+++ b/tests/test_acceptance_terms.py
@@ -54,7 +54,7 @@
     (first,) = actions_of_type(out, StartAttempt)
     assert first.write_timeout_ms == float("inf")  # nothing may have run yet
     (again,) = actions_of_type(d.end(rid, AttemptResult.CONNECTION_RESET, after=700), StartAttempt)
-    assert again.write_timeout_ms == KEYED.idempotency_window_ms - 700 - 2 * d.gateway.s.clock_tick_ms
+    assert again.write_timeout_ms == KEYED.idempotency_window_ms - 700 - 2 * d.gateway.settings.clock_tick_ms
     # One that was proved never to have run does not start the window.
     rid, _ = d.ask("put")
     (again,) = actions_of_type(d.end(rid, AttemptResult.CONNECT_FAILED, after=700), StartAttempt)
@@ -201,10 +201,10 @@
 
 def test_what_an_earlier_start_left_of_its_budget_is_not_the_next_ones() -> None:
     d = GatewayDriver()
-    host = d.gateway.hosts["h0"]
-    host.credit = 5.0
+    host = d.gateway.endpoints["h0"]
+    host.slow_start_budget = 5.0
     d.give(EndpointUpdate(UpdateKind.CHANGES, (endpoint(0, started_at_ms=d.now),)))
-    assert host.credit == 0
+    assert host.slow_start_budget == 0
 
 
 READY_S = 5.0  # of the 10 s: a machine that starts many at once takes longer for each
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -12,10 +12,19 @@
 from support.gateway_driver import CAPPED, PLAN, GatewayDriver, actions_of_type, endpoint, settings
 from support.http_fakes import ROOT
 
-from api_gateway.decisions import admission, occupancy
-from api_gateway.decisions import gateway as policy
-from api_gateway.decisions.admission import ramp
+from api_gateway.decisions import (
+    admission,
+    counter_health,
+    occupancy,
+    outlier_detection,
+    quota,
+    retry,
+    slow_start,
+    tenants,
+)
+from api_gateway.decisions.admission import admitted_fraction
 from api_gateway.decisions.gateway import Gateway
+from api_gateway.decisions.quota import window_length_ms
 from api_gateway.model.actions import Action, FailRequest, IncrementCounter, RejectRequest, StartAttempt
 from api_gateway.model.endpoints import EndpointStatus, UpdateKind
 from api_gateway.model.events import (
@@ -33,42 +42,44 @@
 
 
 def test_ramp_by_hand() -> None:
-    lo, hi = admission.Q_MIN, admission.Q_MAX
-    assert ramp(0.0) == 1.0
-    assert ramp(lo) == 1.0
-    assert ramp((lo + hi) / 2) == pytest.approx(0.5)
-    assert ramp(hi) == admission.F_MIN
-    assert ramp(1.0) == admission.F_MIN
+    lo, hi = occupancy.MIN_SHED_OCCUPANCY, admission.MAX_SHED_OCCUPANCY
+    assert admitted_fraction(0.0) == 1.0
+    assert admitted_fraction(lo) == 1.0
+    assert admitted_fraction((lo + hi) / 2) == pytest.approx(0.5)
+    assert admitted_fraction(hi) == admission.MIN_ADMITTED_FRACTION
+    assert admitted_fraction(1.0) == admission.MIN_ADMITTED_FRACTION
 
 
 def test_accumulator_lets_in_two_of_five_at_f_04() -> None:
     d = GatewayDriver()
     d.ask()
-    cell = d.gateway.admission.cells[("read", "open")]
-    cell.f, cell.r = 0.4, 0.0
+    share = d.gateway.admission.shares[("read", "open")]
+    share.fraction, share.accumulator = 0.4, 0.0
     sent = [bool(actions_of_type(d.ask()[1], StartAttempt)) for _ in range(10)]
     assert sent == [False, False, True, False, True] * 2
 
 
 def test_q_moves_by_w_of_the_mean() -> None:
     d = GatewayDriver()
-    d.gateway.admission.occupancy.seen = 100  # a fresh gateway's q is the plain mean
-    d.gateway.admission.occupancy.classes["read"].unpressed = 0.1
-    weight = min(occupancy.INTERVAL_WEIGHT, 2 / occupancy.OUTCOMES_KEPT)
+    d.gateway.admission.occupancy.sample_count = 100  # a fresh gateway's q is the plain mean
+    d.gateway.admission.occupancy.classes["read"].learned_baseline = 0.1
+    weight = min(occupancy.MAX_INTERVAL_WEIGHT, 2 / occupancy.REMEMBERED_SAMPLES)
     for _ in range(2):
         rid, _ = d.ask()
         d.end(rid, took=500)
-    assert d.gateway.admission.occupancy.pending == 2
+    assert d.gateway.admission.occupancy.pending_samples == 2
     d.sweep()
-    assert d.gateway.admission.occupancy.q == pytest.approx(weight * 0.5)
+    assert d.gateway.admission.occupancy.smoothed == pytest.approx(weight * 0.5)
     rid, _ = d.ask()
     d.sweep()
-    assert d.gateway.admission.occupancy.q == pytest.approx(weight * 0.5)  # no outcome, one out: it holds
+    assert d.gateway.admission.occupancy.smoothed == pytest.approx(
+        weight * 0.5
+    )  # no outcome, one out: it holds
 
 
 def test_a_lone_gateway_finds_out_that_a_jam_is_over() -> None:
     d = GatewayDriver()
-    d.gateway.admission.occupancy.q = 1.0
+    d.gateway.admission.occupancy.smoothed = 1.0
     served = 0
     for _ in range(20):  # two requests a second, answered fast
         rid, out = d.ask(after=0)
@@ -95,26 +106,26 @@
     for _ in range(5):
         d.ask("read")
         d.ask("put")
-    d.gateway.admission.occupancy.q = (admission.Q_MIN + admission.Q_MAX) / 2
+    d.gateway.admission.occupancy.smoothed = (occupancy.MIN_SHED_OCCUPANCY + admission.MAX_SHED_OCCUPANCY) / 2
     d.sweep()
-    cells = d.gateway.admission.cells
-    assert cells[("put", "open")].f > 0.9 > cells[("read", "open")].f
+    shares = d.gateway.admission.shares
+    assert shares["put", "open"].fraction > 0.9 > shares["read", "open"].fraction
 
 
 def test_own_stall_is_no_sample() -> None:
     d = GatewayDriver()
     rid, _ = d.ask()
     d.end(rid, took=5000, after=5000)
-    assert d.gateway.admission.occupancy.pending == 0
+    assert d.gateway.admission.occupancy.pending_samples == 0
     d.sweep()
     rid, _ = d.ask()
     d.end(rid, took=40, after=40)
-    assert d.gateway.admission.occupancy.pending == 1
+    assert d.gateway.admission.occupancy.pending_samples == 1
 
 
 def test_one_bad_host_does_not_cut_f() -> None:
     d = GatewayDriver(endpoints=6)
-    d.gateway.hosts["h0"].slow = 10.0
+    d.gateway.endpoints["h0"].latency_ratio = 10.0
     held_on_bad = None
     for _ in range(200):
         rid, out = d.ask(after=5)
@@ -126,17 +137,17 @@
             d.end(rid, took=50)
     d.sweep(5)
     assert d.gateway.admission.fraction == 1.0
-    assert held_on_bad is None or d.gateway.hosts["h0"].slow > 1
+    assert held_on_bad is None or d.gateway.endpoints["h0"].latency_ratio > 1
 
 
 def test_an_unwell_host_gives_no_samples_but_a_slow_fleet_does() -> None:
     for mid, samples in ((1.0, 0), (10.0, 1)):
         d = GatewayDriver(endpoints=1)
         rid, _ = d.ask()
-        d.gateway.hosts["h0"].slow, d.gateway.mid = 10.0, mid
-        d.gateway.admission.occupancy.good = 0.5
+        d.gateway.endpoints["h0"].latency_ratio, d.gateway.outliers.median_latency_ratio = 10.0, mid
+        d.gateway.admission.occupancy.recent_good = 0.5
         d.end(rid, AttemptResult.TIMED_OUT, took=90)
-        assert d.gateway.admission.occupancy.pending == samples
+        assert d.gateway.admission.occupancy.pending_samples == samples
 
 
 # --- One timely answer ---
@@ -224,7 +235,7 @@
             )
         )
     assert all(answers(d, rid, served) == 1 for rid in asked)
-    assert not gw.held
+    assert not gw.pending
 
 
 def test_odd_requests_get_one_legal_answer() -> None:
@@ -319,7 +330,9 @@
 def test_near_the_limit_a_request_waits_for_the_total_and_is_answered() -> None:
     d = GatewayDriver()
     drive(d, 5, plan="basic")
-    d.gateway.uses["c", "basic"].left = 0.0  # the estimate says no; the last total left one unit
+    d.gateway.tenants[
+        "c", "basic"
+    ].quota.remaining = 0.0  # the estimate says no; the last total left one unit
     rid, out = d.ask(plan="basic")
     assert (
         not actions_of_type(out, StartAttempt)
@@ -328,14 +341,14 @@
     )
     out = d.give(CounterReply(calls_of(d)[-1].name, CounterResult.TIMED_OUT, 0.0), 30)
     assert len(actions_of_type(out, StartAttempt)) + len(actions_of_type(out, RejectRequest)) == 1
-    assert rid not in d.gateway.asking
+    assert not d.gateway.reporter.is_waiting(rid)
 
 
 def test_a_refused_reservation_is_given_back_while_the_counter_answers() -> None:
     for heard, amounts in ((1.0, [1, -1]), (0.0, [1])):
         d = GatewayDriver()
         d.ask(plan="basic")
-        d.gateway.heard = heard
+        d.gateway.counter_health.answered_ratio = heard
         d.gateway.rng.random = lambda: 0.5
         d.give(CounterReply(calls_of(d)[0].name, CounterResult.OK, 100.0))
         assert [c.amount for c in calls_of(d)] == amounts
@@ -346,17 +359,17 @@
     d = GatewayDriver(counter_timeout_ms=30)
     rid, out = d.ask(plan="basic", left=left)
     assert len(actions_of_type(out, StartAttempt)) + len(actions_of_type(out, RejectRequest)) == 1
-    assert rid not in d.gateway.asking
+    assert not d.gateway.reporter.is_waiting(rid)
 
 
 def test_a_reply_that_never_comes_does_not_cost_the_answer() -> None:
     d = GatewayDriver()
     drive(d, 5, plan="basic")
-    d.gateway.uses["c", "basic"].left = 0.0
+    d.gateway.tenants["c", "basic"].quota.remaining = 0.0
     rid, out = d.ask(plan="basic")
     d.sweep(3)
     finals = [a for _, a in d.log if isinstance(a, StartAttempt | RejectRequest) and a.request_id == rid]
-    assert len(finals) == 1 and not d.gateway.asking
+    assert len(finals) == 1 and not d.gateway.reporter._waiting
 
 
 def test_silent_counter_keeps_to_the_split() -> None:
@@ -374,7 +387,9 @@
 def test_counter_that_comes_back_empty_does_not_open_the_quota_anew() -> None:
     d = GatewayDriver()
     assert drive(d, 20, lose_at=3, plan="basic") == 6
-    assert d.gateway.uses["c", "basic"].others >= 0  # a total that falls is no use given back by the others
+    assert (
+        d.gateway.tenants["c", "basic"].quota.peer_usage_rate >= 0
+    )  # a total that falls is no use given back by the others
 
 
 def test_overshoot_is_not_owed() -> None:
@@ -399,24 +414,24 @@
         rid, out = d.ask(plan="basic", customer=f"k{i}")
         for act in actions_of_type(out, IncrementCounter):
             d.give(CounterReply(act.name, CounterResult.TIMED_OUT, 0.0))
-        if rid in d.gateway.held:
+        if rid in d.gateway.pending:
             d.end(rid)
     d.sweep(400)
-    assert not d.gateway.uses and not d.gateway.calls and not d.gateway.held
+    assert not d.gateway.tenants and not d.gateway.reporter._tenants and not d.gateway.pending
 
 
 def test_known_customers_are_bounded_and_those_in_use_are_kept(monkeypatch: pytest.MonkeyPatch) -> None:
     """A flood of new names in one window must not fill the memory, nor push out what holds a ceiling."""
-    monkeypatch.setattr(policy, "MOST_USES", 50)
+    monkeypatch.setattr(tenants, "MAX_TENANTS", 50)
     d = GatewayDriver(counter_enabled=False)
     for i in range(300):
         rid, out = d.ask(plan="basic", customer=f"k{i}")
         assert actions_of_type(out, StartAttempt)
         d.end(rid)
-        assert len(d.gateway.uses) <= 50
+        assert len(d.gateway.tenants) <= 50
     for i in range(60):  # a ceiling's part is not forgotten before it would be full again
         d.ask(plan="capped", customer=f"c{i}", after=1)
-    assert [customer for customer, _ in d.gateway.uses] == [f"c{i}" for i in range(50)]
+    assert [customer for customer, _ in d.gateway.tenants] == [f"c{i}" for i in range(50)]
 
 
 def test_another_plan_or_set_in_a_customers_name_leaves_its_quota_as_it_is() -> None:
@@ -424,12 +439,12 @@
     assert drive(d, 10, plan="basic", width=1) == 6  # its burst
     d.ask(plan="capped", width=3)
     assert drive(d, 5, plan="basic", width=1) == 0
-    use = d.gateway.uses["c", "basic"]
+    tenant = d.gateway.tenants["c", "basic"]
     d.ask(plan="basic", width=3)
-    assert use.gateway_count == 3  # the safe side of two opinions, for this window and the next
+    assert tenant.quota.gateway_count == 3  # the safe side of two opinions, for this window and the next
     for _ in range(2):
-        d.ask(plan="basic", width=1, after=d.gateway._window_ms(PLAN))
-    assert use.gateway_count == 1
+        d.ask(plan="basic", width=1, after=window_length_ms(PLAN))
+    assert tenant.quota.gateway_count == 1
 
 
 def test_plans_with_windows_of_one_length_count_apart() -> None:
@@ -512,7 +527,7 @@
             store = min(plan.ceiling_burst, store + (now - last) * plan.ceiling_rate / 1000) - 1
             last, sends = now, sends + 1
             assert store >= -1e-6
-        if rid in d.gateway.held:
+        if rid in d.gateway.pending:
             d.end(rid)
     assert sends > 50
 
@@ -536,7 +551,7 @@
         d.end(rid, took=10 if actions_of_type(out, StartAttempt)[0].endpoint == "h9" else 100)
         if i % 10 == 9:
             d.give(TimerFired("sweep"))
-    assert to_cold <= policy.COLD_MARGIN * 3 * 0.4 * to_all / 4 + 1
+    assert to_cold <= slow_start.SAFETY_MARGIN * 3 * 0.4 * to_all / 4 + 1
 
 
 def test_cold_budget_by_hand() -> None:
@@ -544,11 +559,13 @@
     gw = d.gateway
     d.sweep(20)  # past the time in which it has no yardstick of its own
     d.give(EndpointUpdate(UpdateKind.FULL, (endpoint(9, started_at_ms=d.now - 5000),)))
-    cold = gw.subset.chosen(d.now).cold[0]
-    gw.let_in_rate = 0.1 / (policy.COLD_MARGIN * 3)  # work let in each ms, for the only host there is
+    cold = gw.subset.refresh(d.now).warming_up[0]
+    # Work admitted in each millisecond, for the only endpoint there is.
+    gw.traffic.admitted_work_rate = 0.1 / (slow_start.SAFETY_MARGIN * 3)
     saved = 0.2 * 0.1 * 2000 / 2  # at most half a span's worth is saved up
-    assert gw._cold_room(cold, 0.2, saved - 0.1)
-    gw.latency["read"] = saved / 4.5
+    gw.slow_start._refill(cold, 0.2, d.now)
+    assert cold.slow_start_budget >= saved - 0.1
+    gw.latency._per_unit_ms["read"] = saved / 4.5
     outs = [d.ask()[1] for _ in range(20)]
     assert (
         4 <= sum(len(actions_of_type(out, StartAttempt)) for out in outs) <= 5
@@ -561,10 +578,10 @@
     for i in range(300):
         d = GatewayDriver(endpoints=1, seed=i, fleet_size=300)
         d.sweep(20)
-        let_in = 0.1 / (policy.COLD_MARGIN * 3)
+        let_in = 0.1 / (slow_start.SAFETY_MARGIN * 3)
         work = 0.36 * 0.1 * 1000 / part  # 2 of 10 s: at least 0.36 warm
         d.give(EndpointUpdate(UpdateKind.FULL, (endpoint(9, started_at_ms=d.now - 2000),)))
-        d.gateway.latency["read"], d.gateway.let_in_rate = work, let_in
+        d.gateway.latency._per_unit_ms["read"], d.gateway.traffic.admitted_work_rate = work, let_in
         sent += any(actions_of_type(d.ask()[1], StartAttempt) for _ in range(10))
     assert abs(sent - 300 * part) < 3 * (300 * part * (1 - part)) ** 0.5 + 1
 
@@ -581,15 +598,15 @@
 def test_keys_are_repeated_only_while_they_are_remembered() -> None:
     d = GatewayDriver(endpoints=4)
     d.give(RequestReceived("k", "put", "open", "c", 4000.0))
-    held = d.gateway.held["k"]
-    first = held.attempts[0].host
-    same = [h for h in d.gateway.hosts.values() if h.zone == first.zone and h is not first][0]
-    other = [h for h in d.gateway.hosts.values() if h.zone != first.zone][0]
-    assert not d.gateway._may_send(held, same)  # the first one is still out
-    held.attempts[0].open = False
-    assert d.gateway._may_send(held, same) and not d.gateway._may_send(held, other)
-    d.gateway.now += 3000
-    assert not d.gateway._may_send(held, same)
+    held = d.gateway.pending.get("k")
+    is_allowed = d.gateway.retry_policy.is_attempt_allowed
+    first = held.attempts[0].endpoint
+    same = [h for h in d.gateway.endpoints.values() if h.zone == first.zone and h is not first][0]
+    other = [h for h in d.gateway.endpoints.values() if h.zone != first.zone][0]
+    assert not is_allowed(held, same, d.now)  # the first one is in flight
+    held.attempts[0].is_in_flight = False
+    assert is_allowed(held, same, d.now) and not is_allowed(held, other, d.now)
+    assert not is_allowed(held, same, d.now + 3000)
 
 
 def test_host_back_from_connect_failures_counts_as_cold() -> None:
@@ -599,8 +616,8 @@
     rid, out = d.ask(after=600)
     assert actions_of_type(out, StartAttempt)
     d.end(rid)
-    host = d.gateway.hosts["h0"]
-    assert d.gateway._warmth(host) < 0.3
+    host = d.gateway.endpoints["h0"]
+    assert d.gateway.slow_start.capacity_fraction(host, d.now) < 0.3
 
 
 @pytest.mark.parametrize(
@@ -623,9 +640,9 @@
         rid, out = d.ask()
         assert actions_of_type(out, StartAttempt)
         d.end(rid, result)
-    host = d.gateway.hosts["h0"]
-    assert (host.died, host.fails > 0) == (result == AttemptResult.CONNECT_FAILED, rests)
-    assert host.open == 0 and d.gateway.admission.occupancy.q == 0
+    host = d.gateway.endpoints["h0"]
+    assert (host.connect_failed, host.ejection_count > 0) == (result == AttemptResult.CONNECT_FAILED, rests)
+    assert host.in_flight == 0 and d.gateway.admission.occupancy.smoothed == 0
 
 
 def test_a_request_whose_host_began_to_leave_goes_to_another_and_blames_nobody() -> None:
@@ -637,10 +654,10 @@
             UpdateKind.CHANGES, (endpoint(int(first.endpoint[1:]), status=EndpointStatus.DRAINING),)
         )
     )
-    q, bank = d.gateway.admission.occupancy.pending, d.gateway.bank
+    q, bank = d.gateway.admission.occupancy.pending_samples, d.gateway.retry_policy.budget.tokens
     (again,) = actions_of_type(d.end(rid, AttemptResult.WITHDRAWN, took=0), StartAttempt)
-    assert again.endpoint != first.endpoint and not d.gateway.hosts[first.endpoint].fails
-    assert (d.gateway.admission.occupancy.pending, d.gateway.bank) == (q, bank)
+    assert again.endpoint != first.endpoint and not d.gateway.endpoints[first.endpoint].ejection_count
+    assert (d.gateway.admission.occupancy.pending_samples, d.gateway.retry_policy.budget.tokens) == (q, bank)
 
 
 def test_a_bound_of_our_own_ends_the_request_at_once() -> None:
@@ -653,11 +670,14 @@
 def test_failing_host_rests_and_is_tried_again() -> None:
     d = GatewayDriver(endpoints=4)
     d.sweep()
-    host = d.gateway.hosts["h0"]
-    d.gateway._down(host)
+    host = d.gateway.endpoints["h0"]
+    d.gateway.outliers.eject(host, d.now)
     seen = {actions_of_type(d.ask(after=1)[1], StartAttempt)[0].endpoint for _ in range(20)}
     assert "h0" not in seen
-    assert actions_of_type(d.ask(after=policy.BACKOFF_MS)[1], StartAttempt)[0].endpoint == "h0"
+    assert (
+        actions_of_type(d.ask(after=outlier_detection.EJECTION_BACKOFF_MS)[1], StartAttempt)[0].endpoint
+        == "h0"
+    )
 
 
 def test_retries_are_budgeted() -> None:
@@ -667,10 +687,10 @@
         rid, out = d.ask(after=50)
         sends += len(actions_of_type(out, StartAttempt))
         for _ in range(4):
-            if rid not in d.gateway.held:
+            if rid not in d.gateway.pending:
                 break
             sends += len(actions_of_type(d.end(rid, AttemptResult.OVERLOADED), StartAttempt))
-    assert sends <= 300 * (1 + policy.RETRY_SHARE) + policy.RETRY_BANK + 1
+    assert sends <= 300 * (1 + retry.RETRIES_PER_REQUEST) + retry.MAX_SAVED_RETRIES + 1
 
 
 # --- Answers that never come ---
@@ -702,9 +722,9 @@
         d = GatewayDriver(endpoints=8)
         for i in range(60):
             rid, _ = d.ask(after=20)
-            if i % 4 == 0 and rid in d.gateway.held:
+            if i % 4 == 0 and rid in d.gateway.pending:
                 d.end(rid, AttemptResult.TIMED_OUT, took=took)
-            if rid in d.gateway.held:
+            if rid in d.gateway.pending:
                 d.end(rid, took=took)
             d.give(TimerFired("sweep"))
         assert (d.gateway.admission.fraction < 1) == pressed
@@ -724,13 +744,16 @@
             for act in actions_of_type(out, IncrementCounter):
                 made += 1
                 out = out + d.give(CounterReply(act.name, result, act.amount))
-            if rid in d.gateway.held:
+            if rid in d.gateway.pending:
                 d.end(rid)
         return made
 
     assert calls(CounterResult.OK) == 60
-    assert calls(CounterResult.CONNECTION_LOST, policy.CUTS) == policy.CUTS  # one connection's end
-    assert d.gateway.heard == 1.0
+    assert (
+        calls(CounterResult.CONNECTION_LOST, counter_health.MAX_LOST_CONNECTIONS)
+        == counter_health.MAX_LOST_CONNECTIONS
+    )  # one connection's end
+    assert d.gateway.counter_health.answered_ratio == 1.0
     assert calls(CounterResult.CONNECTION_LOST) < 15  # nothing else comes: it is gone
     calls(CounterResult.OK, 300)
     assert calls(CounterResult.OVERLOADED) < 15
@@ -744,9 +767,9 @@
     (call,) = actions_of_type(out, IncrementCounter)
     out = d.give(CounterReply(call.name, CounterResult.MALFORMED_RESPONSE, 0.0))
     assert actions_of_type(out, StartAttempt)  # decided at once
-    use = d.gateway.uses["k", "basic"]
-    assert d.gateway.heard == 1.0
-    assert use.added == 2 and not use.calling
+    tenant = d.gateway.tenants["k", "basic"]
+    assert d.gateway.counter_health.answered_ratio == 1.0
+    assert tenant.report.reported_usage == 2 and not tenant.report.is_call_in_flight
 
 
 @pytest.mark.parametrize("age_s", [2, 30])
@@ -761,7 +784,7 @@
             rid, out = d.ask(plan="basic", width=300)
             sent += len(actions_of_type(out, StartAttempt))
     extra = sent - 300  # the first one of each gateway is let in: most customers are far from their quota
-    assert extra <= 2 * policy.SPLIT * min(PLAN.quota_burst, PLAN.quota_rate * age_s) + 3
+    assert extra <= 2 * quota.ESTIMATE_HEADROOM * min(PLAN.quota_burst, PLAN.quota_rate * age_s) + 3
 
 
 # --- The module itself ---
@@ -778,8 +801,8 @@
     "secrets",
     "uuid",
 }
-MODULE_LINES = 1000  # in one file of the decisions, blank ones not counted
-FUNCTION_LINES = 60
+MODULE_LINES = 300  # in one file of the decisions, blank ones not counted
+FUNCTION_LINES = 45
 
 
 def test_decisions_import_nothing_but_the_model_and_the_standard_library() -> None:
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -9,8 +9,10 @@
 from support.fleet_simulation import FleetSimulation
 from support.gateway_driver import OPEN, SAFE, GatewayDriver, actions_of_type, endpoint, settings
 
-from api_gateway.decisions.gateway import LOOK, SUBSET_MIN, Gateway
-from api_gateway.decisions.subset import Ring, place
+from api_gateway.decisions.gateway import Gateway
+from api_gateway.decisions.retry import RetryPolicy
+from api_gateway.decisions.ring import Ring, gateway_position
+from api_gateway.decisions.subset import MAX_CANDIDATES, MIN_SIZE
 from api_gateway.model.actions import StartAttempt
 from api_gateway.model.endpoints import EndpointStatus, UpdateKind
 from api_gateway.model.events import AttemptEnded, EndpointUpdate, RequestReceived, TimerFired
@@ -31,7 +33,7 @@
 
 @pytest.mark.parametrize("fleet", [1, 2, 3, 40, 200, 670])
 def test_the_places_of_a_fleet_are_evenly_spaced_and_neighbours_lie_apart(fleet: int) -> None:
-    places = [place(i, fleet) for i in range(fleet)]
+    places = [gateway_position(i, fleet) for i in range(fleet)]
     assert sorted(places) == [i / fleet for i in range(fleet)]
     if fleet >= 40:
         assert all(0.2 < abs(a - b) < 0.8 for a, b in zip(places, places[1:], strict=False))
@@ -61,7 +63,7 @@
     it = ring(names, zones=4)
     covered = dict.fromkeys(names, 0)
     for me in range(200):
-        mine = first(it, place(me, 200), 12)
+        mine = first(it, gateway_position(me, 200), 12)
         for name in mine:
             covered[name] += 1
         per_zone = [sum(names.index(n) % 4 == z for n in mine) for z in range(4)]
@@ -73,26 +75,26 @@
     """Of 12 hosts one changes where it enters or leaves, and one by the shift of ranks."""
     names = [f"h{i}" for i in range(400)]
     it = ring(names, zones=4)
-    before = [set(first(it, place(me, 300), 12)) for me in range(300)]
+    before = [set(first(it, gateway_position(me, 300), 12)) for me in range(300)]
     it.remove("h8", "z0")
     it.add("new", "z0")
-    moved = [len(b - set(first(it, place(me, 300), 12))) for me, b in enumerate(before)]
+    moved = [len(b - set(first(it, gateway_position(me, 300), 12))) for me, b in enumerate(before)]
     assert max(moved) <= 2 and sum(moved) <= 0.05 * 300 * 12
 
 
 def test_a_whole_new_list_keeps_the_subset_of_those_that_stay() -> None:
     d = GatewayDriver(endpoints=200, fleet_size=100)
-    before = {h.name for h in d.gateway.subset.chosen(d.now)}
+    before = {h.name for h in d.gateway.subset.refresh(d.now)}
     d.give(EndpointUpdate(UpdateKind.FULL, tuple(endpoint(i) for i in range(200))))
-    assert {h.name for h in d.gateway.subset.chosen(d.now)} == before
+    assert {h.name for h in d.gateway.subset.refresh(d.now)} == before
     d.give(
         EndpointUpdate(
             UpdateKind.CHANGES,
             (endpoint(3, status=EndpointStatus.DRAINING), endpoint(5, status=EndpointStatus.REMOVED)),
         )
     )
-    now = d.gateway.subset.chosen(d.now)
-    assert not {"h3", "h5"} & {h.name for h in now} and len(now) >= SUBSET_MIN
+    now = d.gateway.subset.refresh(d.now)
+    assert not {"h3", "h5"} & {h.name for h in now} and len(now) >= MIN_SIZE
 
 
 @pytest.mark.parametrize(("gateways", "hosts"), [(1, 6), (3, 14), (40, 60), (200, 200)])
@@ -137,15 +139,15 @@
     lossy = Lossy(200, 100)
     for _ in range(60):
         assert lossy.ask()
-    lossy.gone = {h.name for h in lossy.d.gateway.subset.chosen(lossy.d.now)}
-    assert len(lossy.gone) >= SUBSET_MIN
+    lossy.gone = {h.name for h in lossy.d.gateway.subset.refresh(lossy.d.now)}
+    assert len(lossy.gone) >= MIN_SIZE
     served = [lossy.ask() for _ in range(120)]
     assert all(served[60:]), "3 s later no request fails for them"
-    assert len({h.name for h in lossy.d.gateway.subset.warm} - lossy.gone) >= SUBSET_MIN
+    assert len({h.name for h in lossy.d.gateway.subset.warm} - lossy.gone) >= MIN_SIZE
     lossy.gone = set()  # and they are taken back
     for _ in range(600):
         lossy.ask()
-    assert not lossy.d.gateway.subset.failing
+    assert not lossy.d.gateway.subset.ejected
 
 
 def test_the_loss_of_a_zone_leaves_the_rest_of_the_subset_grown() -> None:
@@ -159,13 +161,13 @@
 
 def test_a_decision_looks_at_as_many_hosts_at_50_as_at_11000(monkeypatch: pytest.MonkeyPatch) -> None:
     looks = [0]
-    real = Gateway._may_send
+    real = RetryPolicy.is_attempt_allowed
 
-    def counted(self: Gateway, held: object, host: object) -> bool:
+    def counted(self: RetryPolicy, *arguments: object) -> bool:
         looks[0] += 1
-        return real(self, held, host)
+        return real(self, *arguments)
 
-    monkeypatch.setattr(Gateway, "_may_send", counted)
+    monkeypatch.setattr(RetryPolicy, "is_attempt_allowed", counted)
     for hosts in (50, 11_000):
         gateway, now = (
             Gateway(settings(classes=(SAFE,), plans=(OPEN,), fleet_size=670, gateway_index=7), 1),
@@ -182,7 +184,7 @@
                     gateway.handle(
                         now, AttemptEnded(act.request_id, 0, act.endpoint, AttemptResult.OK, 50, True)
                     )
-            assert looks[0] <= LOOK
+            assert looks[0] <= MAX_CANDIDATES
             if i % 12 == 0:
                 gateway.handle(now, TimerFired("sweep"))
         assert len(gateway.subset) < 200  # 125 requests a second: one a second for each of its hosts
@@ -193,13 +195,13 @@
     d.sweep(5)
     asked = [d.ask()[0] for _ in range(60)]  # nothing comes back: more is out than its hosts
     d.sweep(10)
-    grown = len(d.gateway.subset.chosen(d.now).warm)
-    assert grown > 2 * SUBSET_MIN
+    grown = len(d.gateway.subset.refresh(d.now).warm)
+    assert grown > 2 * MIN_SIZE
     for rid in asked:
         if any(isinstance(a, StartAttempt) and a.request_id == rid for _, a in d.log):
             d.end(rid, took=900)
     d.sweep(300)
-    assert len(d.gateway.subset.chosen(d.now).warm) < grown
+    assert len(d.gateway.subset.refresh(d.now).warm) < grown
 
 
 def test_a_repeat_finds_its_group_outside_the_subset() -> None:
@@ -233,6 +235,6 @@
             d.end(rid, took=30)
             if i % 3 == 0:
                 d.give(TimerFired("sweep"))
-        for host in d.gateway.subset.chosen(d.now).warm:
+        for host in d.gateway.subset.refresh(d.now).warm:
             reached[host.name] = reached.get(host.name, 0) + 1
     assert len(reached) == 200 and min(reached.values()) >= 1 and sum(reached.values()) >= 1.5 * 200
--- a/tests/test_thin_traffic.py
+++ b/tests/test_thin_traffic.py
@@ -3,10 +3,18 @@
 from __future__ import annotations
 
 import pytest
-from support.gateway_driver import GatewayDriver
-
-from api_gateway.decisions.admission import F_MIN, Q_MAX, Q_MIN, UNSEEN_LIFT, ramp, unseen_lift
-from api_gateway.decisions.gateway import TRIAL_BANK, TRIAL_SHARE
+from support.gateway_driver import PLAN, GatewayDriver
+
+from api_gateway.decisions.admission import (
+    MAX_RAMP_OFFSET,
+    MAX_SHED_OCCUPANCY,
+    MIN_ADMITTED_FRACTION,
+    admitted_fraction,
+    ramp_offset,
+)
+from api_gateway.decisions.occupancy import MIN_SHED_OCCUPANCY
+from api_gateway.decisions.outlier_detection import MAX_SAVED_PROBES, PROBES_PER_REQUEST
+from api_gateway.decisions.quota import window_length_ms
 from api_gateway.model.actions import Action, IncrementCounter, StartAttempt
 from api_gateway.model.events import CounterReply, RequestReceived
 from api_gateway.model.results import AttemptResult, CounterResult
@@ -31,10 +39,12 @@
 
 
 def test_the_ramp_lies_higher_where_a_gateway_sees_little_of_the_hosts() -> None:
-    assert unseen_lift(0.0) == UNSEEN_LIFT and unseen_lift(5.0) < 0.02 < unseen_lift(0.5)
-    q = (Q_MIN + Q_MAX) / 2
-    assert ramp(q) == 0.5 and ramp(q, UNSEEN_LIFT) == 1.0
-    assert ramp(1.0, UNSEEN_LIFT) == F_MIN, "a full back end is shed for whatever the lift"
+    assert ramp_offset(0.0) == MAX_RAMP_OFFSET and ramp_offset(5.0) < 0.02 < ramp_offset(0.5)
+    q = (MIN_SHED_OCCUPANCY + MAX_SHED_OCCUPANCY) / 2
+    assert admitted_fraction(q) == 0.5 and admitted_fraction(q, MAX_RAMP_OFFSET) == 1.0
+    assert admitted_fraction(1.0, MAX_RAMP_OFFSET) == MIN_ADMITTED_FRACTION, (
+        "a full back end is shed for whatever the lift"
+    )
 
 
 def known(servers: int) -> GatewayDriver:
@@ -83,7 +93,7 @@
     driver = GatewayDriver(endpoints=60)
     names = {f"h{i}" for i in range(24)}
     dead(driver, names, 400, 80)  # finds them out
-    assert dead(driver, names, 200, 80) <= TRIAL_SHARE * 200 + TRIAL_BANK
+    assert dead(driver, names, 200, 80) <= PROBES_PER_REQUEST * 200 + MAX_SAVED_PROBES
 
 
 def test_a_failing_host_alone_is_still_tried_soon() -> None:
@@ -131,10 +141,12 @@
     driver = GatewayDriver(endpoints=60, fleet_size=40, now=1e6)
     driver.sweep(80)
     assert any(isinstance(a, StartAttempt) for a in counted(driver, 1, 3))
-    use = next(iter(driver.gateway.uses.values()))
-    assert use.others * 1000 <= 2.0, "two units of the others in a window that is not that new"
-    length = driver.gateway._window_ms(use.plan)
-    start = (use.window + 1 - use.phase) * length  # of the next window
+    tenant = next(iter(driver.gateway.tenants.values()))
+    assert tenant.quota.peer_usage_rate * 1000 <= 2.0, (
+        "two units of the others in a window that is not that new"
+    )
+    length = window_length_ms(tenant.plan)
+    start = (tenant.quota.window + 1 - tenant._window_phase) * length  # of the next window
     acts = counted(driver, 1, 1, after=start + 50 - driver.now, before=3)
     assert any(isinstance(a, StartAttempt) for a in acts), "3 of 6 units used: its store is not empty"
 
@@ -143,14 +155,14 @@
     """What a gateway takes to be left (of 6, 2 a second) at the first total, 5 s into a window of 6."""
     driver = GatewayDriver(endpoints=60, fleet_size=40, now=1e6)
     driver.sweep(80)
-    use = driver.gateway._use(
-        RequestReceived("probe", "read", "basic", "c", 4000, 1, 20, 0), driver.gateway.plans["basic"]
+    tenant = driver.gateway.requests._find_tenant(
+        RequestReceived("probe", "read", "basic", "c", 4000, 1, 20, 0), PLAN, driver.now
     )
-    end = (use.window + 1 - use.phase) * driver.gateway._window_ms(use.plan)
-    driver.gateway.uses.clear()
+    end = (tenant.quota.window + 1 - tenant._window_phase) * window_length_ms(tenant.plan)
+    driver.gateway.tenants.clear()
     driver.now = end - 1000
     counted(driver, 1, total)
-    return next(iter(driver.gateway.uses.values())).left
+    return next(iter(driver.gateway.tenants.values())).quota.remaining
 
 
 def test_what_is_left_follows_from_one_total_at_first_sight() -> None:
@@ -165,23 +177,23 @@
     driver = GatewayDriver(endpoints=60, fleet_size=40, now=1e6)
     driver.sweep(80)
     counted(driver, 1, 3)
-    use = next(iter(driver.gateway.uses.values()))
-    start = (use.window + 1 - use.phase) * driver.gateway._window_ms(use.plan)
+    tenant = next(iter(driver.gateway.tenants.values()))
+    start = (tenant.quota.window + 1 - tenant._window_phase) * window_length_ms(tenant.plan)
     acts = counted(driver, 1, 1, after=start + 50 - driver.now, before=before)
     amounts = [a.amount for a in acts if isinstance(a, IncrementCounter)]
     assert amounts[:2] == [1, 0], "its own unit, then a look at the last window's count"
     assert sum(amounts) == pytest.approx(min(before - 12, 6)), "12 refilled; its own is taken off"
     assert any(isinstance(a, StartAttempt) for a in acts) == sent
-    assert use.left < 0.2
+    assert tenant.quota.remaining < 0.2
 
 
 def test_refill_that_found_the_store_full_is_void_for_all() -> None:
     driver = GatewayDriver(endpoints=60, fleet_size=40, now=1e6)
     driver.sweep(80)
-    use = driver.gateway._use(
-        RequestReceived("probe", "read", "basic", "c", 4000, 1, 20, 0), driver.gateway.plans["basic"]
+    tenant = driver.gateway.requests._find_tenant(
+        RequestReceived("probe", "read", "basic", "c", 4000, 1, 20, 0), PLAN, driver.now
     )
-    driver.now = (use.window + 1 - use.phase) * driver.gateway._window_ms(use.plan) + 4000
+    driver.now = (tenant.quota.window + 1 - tenant._window_phase) * window_length_ms(tenant.plan) + 4000
     rid, acts = driver.ask(plan="basic", units=1, width=20)
     first = next(a for a in acts if isinstance(a, IncrementCounter))
     driver.give(CounterReply(first.name, CounterResult.OK, 1), 2)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -148,8 +148,35 @@
 
 def test_deploy_file_is_as_agreed() -> None:
     text = (ROOT / "deploy" / "balancer.toml").read_text()
-    parts = ", ".join(
-        f'"api_gateway/decisions/{part}.py"' for part in ("gateway", "admission", "occupancy", "subset")
+    modules = (
+        "admission",
+        "attempt_flow",
+        "ceiling",
+        "counter_health",
+        "endpoints",
+        "gateway",
+        "latency",
+        "load_sampling",
+        "occupancy",
+        "outlier_detection",
+        "pending_requests",
+        "quota",
+        "random_rounding",
+        "rate_limited_log",
+        "rejections",
+        "request_flow",
+        "retry",
+        "ring",
+        "selection",
+        "slow_start",
+        "subset",
+        "subset_sizing",
+        "tenants",
+        "traffic",
+        "uptime",
+        "usage_report",
+        "usage_reporting",
     )
-    assert f"policy = [{parts}]" in text
+    paths = "".join(f'    "api_gateway/decisions/{module}.py",\n' for module in modules)
+    assert f"policy = [\n{paths}]\n" in text
     assert 'sim = "exec .venv/bin/python -m api_gateway.simulator"' in text
