--- a/api_gateway/decisions/request_flow.py
+++ b/api_gateway/decisions/request_flow.py
@@ -158,18 +158,24 @@
             now_ms: The time now.
             is_admitted: Whether admission control has admitted it already.
         """
-        over_quota = self._quota_violation(pending, now_ms)
-        reason = over_quota
-        if over_quota is None:
-            reason = None if is_admitted or self._is_admitted(pending) else RejectReason.LOAD_SHED
-        elif self._is_served_beyond_quota(pending.tenant.plan):
-            reason = None
-        if reason is None and not self._is_within_ceiling(pending, now_ms):
-            reason = RejectReason.CEILING
-        if reason is None and not self._forward(pending, now_ms, is_over_quota=over_quota is not None):
-            reason = RejectReason.NO_ENDPOINT_AVAILABLE
+        violation = self._quota_violation(pending, now_ms)
+        reason = self._why_not_admitted(pending, violation, now_ms, is_admitted=is_admitted)
+        if reason is None:
+            reason = self._forward(pending, now_ms, is_over_quota=violation is not None)
         if reason is not None:
-            self._reject_new(pending, reason, is_over_quota=over_quota is not None)
+            self._reject_new(pending, reason, is_over_quota=violation is not None)
+
+    def _why_not_admitted(
+        self, pending: PendingRequest, violation: RejectReason | None, now_ms: float, *, is_admitted: bool
+    ) -> RejectReason | None:
+        """Return what keeps a request from being forwarded: its quota, load shedding or the ceiling."""
+        if violation is not None and not self._is_served_beyond_quota(pending.tenant.plan):
+            return violation
+        if violation is None and not is_admitted and not self._is_admitted(pending):
+            return RejectReason.LOAD_SHED
+        if not self._is_within_ceiling(pending, now_ms):
+            return RejectReason.CEILING
+        return None
 
     def _quota_violation(self, pending: PendingRequest, now_ms: float) -> RejectReason | None:
         """Return which limit of its quota a request goes beyond, if any."""
@@ -195,13 +201,15 @@
         tenant = pending.tenant
         return tenant.ceiling.admits(pending.units, tenant.quota.gateway_count, now_ms)
 
-    def _forward(self, pending: PendingRequest, now_ms: float, *, is_over_quota: bool) -> bool:
-        """Send an admitted request to an endpoint; False if none may be sent it."""
+    def _forward(self, pending: PendingRequest, now_ms: float, *, is_over_quota: bool) -> RejectReason | None:
+        """Send an admitted request to an endpoint; return why it cannot be sent, if so."""
         pending.work = self._latency.per_unit_ms(pending.class_name) * max(pending.units, 0.0)
         self._traffic.record_admitted(pending.work)
-        endpoint = self._selector.select(pending, now_ms) if pending.objective_at_ms > now_ms else None
+        if pending.objective_at_ms <= now_ms:
+            return RejectReason.OBJECTIVE_PASSED
+        endpoint = self._selector.select(pending, now_ms)
         if endpoint is None:
-            return False
+            return RejectReason.NO_ENDPOINT_AVAILABLE
         tenant = pending.tenant
         self._pending.add(pending)
         self._retry_budget.earn()
@@ -212,7 +220,7 @@
             tenant.quota.spend(pending.units)
         self._reporter.report(tenant, now_ms)
         self._attempts.start(pending, endpoint, now_ms)
-        return True
+        return None
 
     def record_counter_reply(self, reply: CounterReply, now_ms: float) -> None:
         """Take in the end of a counter call, and decide on the requests that waited for it."""
--- a/tests/test_request_flow.py
+++ b/tests/test_request_flow.py
@@ -6,11 +6,7 @@
 import random
 
 import pytest
-from support.gateway_driver import (
-    GatewayDriver,
-    actions_of_type,
-    endpoint,
-)
+from support.gateway_driver import CAPPED, OPEN, PLAN, GatewayDriver, actions_of_type, endpoint
 
 from api_gateway.model.actions import Action, FailRequest, RejectRequest, StartAttempt
 from api_gateway.model.endpoints import EndpointStatus, UpdateKind
@@ -19,7 +15,7 @@
     EndpointUpdate,
     TimerFired,
 )
-from api_gateway.model.results import AttemptResult
+from api_gateway.model.results import AttemptResult, RejectReason
 
 
 @dataclasses.dataclass
@@ -210,3 +206,36 @@
     request_id, _ = driver.ask()
     (refused,) = actions_of_type(driver.end(request_id, AttemptResult.OVERLOADED), RejectRequest)
     assert 0 < refused.retry_after_ms <= 2000
+
+
+def reason_of(actions: list[Action]) -> RejectReason:
+    """The reason of the one rejection among some actions."""
+    (rejection,) = actions_of_type(actions, RejectRequest)
+    return rejection.reason
+
+
+def test_rejections_on_receipt_tell_their_reason() -> None:
+    driver = GatewayDriver()
+    assert reason_of(driver.ask(plan="unknown")[1]) is RejectReason.UNKNOWN_CLASS_OR_PLAN
+    assert reason_of(driver.ask(time_left_ms=0)[1]) is RejectReason.DEADLINE_PASSED
+    assert reason_of(GatewayDriver(endpoints=0).ask()[1]) is RejectReason.NO_ENDPOINTS
+
+
+def test_rejections_by_quota_and_ceiling_tell_their_reason() -> None:
+    limited = dataclasses.replace(OPEN, name="limited", max_concurrent_requests=1)
+    driver = GatewayDriver(plans=(PLAN, CAPPED, limited), counter_enabled=False)
+    driver.ask(plan="limited")
+    assert reason_of(driver.ask(plan="limited")[1]) is RejectReason.CONCURRENCY_LIMIT
+    driver.ask(plan="basic", gateway_count=1)
+    assert reason_of(driver.ask(plan="basic", units=6, gateway_count=1)[1]) is RejectReason.OVER_QUOTA
+    assert reason_of(driver.ask(plan="capped")[1]) is RejectReason.CEILING  # a share starts empty
+
+
+def test_rejections_by_load_and_endpoints_tell_their_reason() -> None:
+    driver = GatewayDriver(endpoints=1, max_attempts=1)
+    request_id, _ = driver.ask()
+    driver.gateway.admission.shares["read", "open"].fraction = 0.05
+    assert reason_of(driver.ask()[1]) is RejectReason.LOAD_SHED
+    assert reason_of(driver.end(request_id, AttemptResult.OVERLOADED)) is RejectReason.ATTEMPTS_EXHAUSTED
+    driver.give(EndpointUpdate(UpdateKind.CHANGES, (endpoint(0, status=EndpointStatus.DRAINING),)))
+    assert reason_of(driver.ask("put")[1]) is RejectReason.NO_ENDPOINT_AVAILABLE
