--- a/testbed/__init__.py
+++ b/testbed/__init__.py
@@ -1,5 +1,6 @@
-"""The project's own emulator of what the gateway serves, with load and experiments on it.
+"""Emulator of the systems around the gateway, with load generation and a scale experiment.
 
-Beside the gateway, which never imports it. Stand-ins are written from the protocol page; each runs in a
-process of its own on loopback addresses (`role`), and an experiment (`scale`) starts, plays and measures.
+The gateway never imports this package. Each emulated system follows its protocol page and runs in a process
+of its own on loopback addresses (`testbed.worker`). An experiment (`testbed.scale`) starts the processes,
+generates load and measures.
 """
--- a/testbed/__main__.py
+++ b/testbed/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m testbed`."""
+"""Entry point of `python -m testbed`."""
 
 import sys
 
--- a/testbed/cli.py
+++ b/testbed/cli.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import enum
 import sys
 from pathlib import Path
 
@@ -10,83 +11,146 @@
 import msgspec
 from rich.console import Console
 
-from testbed import scale as scale_run
-from testbed.children import ChildError
-from testbed.plan import Plan
-from testbed.report import show
+from testbed.errors import ExperimentError
+from testbed.scale.experiment import run_experiment
+from testbed.scale.plan import Plan, machine_memory_mb
+from testbed.scale.report import Report
+from testbed.scale.tables import print_report
 
-QUICK = Plan(gateways=60, real=2, hosts=900, customers=600, seconds=4.0, rate=10.0)
-MOST_SECONDS = 300.0
+QUICK_PLAN = Plan(
+    simulated_gateways=60, real_gateways=2, endpoints=900, tenants=600, load_s=4.0, requests_per_s=10.0
+)
+MAX_LOAD_S = 300.0
+MAX_MEMORY_SHARE = 0.5  # of the machine's memory
+PIPE_WIDTH = 150  # columns of the tables if the output is no terminal
+
+
+class ExitStatus(enum.IntEnum):
+    """Exit status of the command."""
+
+    SUCCESS = 0
+    EXPERIMENT_FAILED = 1
+    USAGE_ERROR = 2
+    INTERRUPTED = 130
 
 
 @click.group()
 def cli() -> None:
-    """Experiments on the gateway, on this machine's loopback addresses alone."""
+    """Experiments on the gateway, on loopback addresses of this machine alone."""
 
 
 @cli.command()
-@click.option("--gateways", type=click.IntRange(1, 2000), help="Hollow gateways: the module without sockets.")
 @click.option(
-    "--real", type=click.IntRange(0, 32), help="Real gateways beside them, by the deploy file's run."
+    "--gateways",
+    "simulated_gateways",
+    type=click.IntRange(1, 2000),
+    help="Simulated gateways, without sockets for clients and endpoints.",
 )
-@click.option("--hosts", type=click.IntRange(36, 50_000), help="The largest list of hosts.")
-@click.option("--customers", type=click.IntRange(1, 1_000_000), help="Customers that requests belong to.")
-@click.option("--seconds", type=click.FloatRange(1.0, MOST_SECONDS), help="How long each load lasts.")
-@click.option("--rate", type=click.FloatRange(0.1, 1000.0), help="Requests a second of each gateway.")
-@click.option("--real-rate", type=click.FloatRange(0.1, 2000.0), help="Requests a second of a real one.")
-@click.option("--discovery-calls", type=click.FloatRange(1.0), help="A second, where it must be asked.")
 @click.option(
-    "--skew", type=click.FloatRange(0.1, 1000.0), help="Shape of the gateways' shares; 1000 is even."
+    "--real",
+    "real_gateways",
+    type=click.IntRange(0, 32),
+    help="Gateway processes beside them, started by the deploy file's run command.",
 )
 @click.option(
-    "--turned-away", type=click.FloatRange(0.0, 1.0), help="Part of the counter's calls, for quotas."
+    "--hosts", "endpoints", type=click.IntRange(36, 50_000), help="Size of the largest endpoint list."
 )
-@click.option("--asked", is_flag=True, help="The list comes only on request.")
-@click.option("--seed", type=click.IntRange(1), help="Of all that is drawn.")
 @click.option(
-    "--json", "path", type=click.Path(dir_okay=False, path_type=Path), help="Write the report here."
+    "--customers", "tenants", type=click.IntRange(1, 1_000_000), help="Tenants that requests belong to."
 )
-@click.option("--quick", is_flag=True, help="A small run within 60 s; other options go before its own.")
-def scale(path: Path | None, quick: bool, asked: bool, **options: float | None) -> None:
-    """Play a fleet at three sizes of its list of hosts, and fit what grows with it."""
+@click.option("--seconds", "load_s", type=click.FloatRange(1.0, MAX_LOAD_S), help="Duration of each load.")
+@click.option(
+    "--rate",
+    "requests_per_s",
+    type=click.FloatRange(0.1, 1000.0),
+    help="Requests a second to each simulated gateway.",
+)
+@click.option(
+    "--real-rate",
+    "real_requests_per_s",
+    type=click.FloatRange(0.1, 2000.0),
+    help="Requests a second to each real gateway.",
+)
+@click.option(
+    "--discovery-calls",
+    "discovery_calls_per_s",
+    type=click.FloatRange(1.0),
+    help="Calls a second that discovery processes, with --asked.",
+)
+@click.option(
+    "--skew",
+    "traffic_share_shape",
+    type=click.FloatRange(0.1, 1000.0),
+    help="Shape of the gateways' shares of the traffic; 1000 is even.",
+)
+@click.option(
+    "--turned-away",
+    "counter_rejected_share",
+    type=click.FloatRange(0.0, 1.0),
+    help="Part of the counter's calls to reject while quotas are measured.",
+)
+@click.option("--asked", "discovery_by_polling", is_flag=True, help="Send the endpoint list only on request.")
+@click.option("--seed", type=click.IntRange(1), help="Seed of all random draws.")
+@click.option(
+    "--json",
+    "report_path",
+    type=click.Path(dir_okay=False, path_type=Path),
+    help="File to write the report to.",
+)
+@click.option("--quick", is_flag=True, help="A small experiment within 60 s; other options override its own.")
+def scale(report_path: Path | None, quick: bool, discovery_by_polling: bool, **options: float | None) -> None:
+    """Measure a fleet with three sizes of its endpoint list, and fit what grows with it."""
+    plan = _create_plan(quick, discovery_by_polling, options)
+    _check_memory(plan)
+    if report_path is not None and not report_path.parent.is_dir():
+        raise click.UsageError(f"--json: there is no folder {report_path.parent}")
+    console = Console(stderr=True)
+    with console.status("starting") as status:
+        report = run_experiment(plan, ["python", "-m", "testbed", *sys.argv[1:]], status.update)
+    print_report(report, Console(width=None if sys.stdout.isatty() else PIPE_WIDTH))
+    if report_path is not None:
+        _write_report(report, report_path)
+
+
+def _create_plan(quick: bool, discovery_by_polling: bool, options: dict[str, float | None]) -> Plan:
     given = {name: value for name, value in options.items() if value is not None}
-    if not quick and "gateways" not in given:
+    if not quick and "simulated_gateways" not in given:
         raise click.UsageError("--gateways is needed, or --quick")
-    base = QUICK if quick else Plan(gateways=1)
-    plan = msgspec.structs.replace(base, asked=asked, **given)
-    needed, half = scale_run.memory_needed_mb(plan), scale_run.machine_memory_mb() / 2
-    if needed > half:
+    base = QUICK_PLAN if quick else Plan(simulated_gateways=1)
+    return msgspec.structs.replace(base, discovery_by_polling=discovery_by_polling, **given)
+
+
+def _check_memory(plan: Plan) -> None:
+    needed_mb = plan.estimated_memory_mb()
+    limit_mb = MAX_MEMORY_SHARE * machine_memory_mb()
+    if needed_mb > limit_mb:
         raise click.UsageError(
-            f"about {needed:,.0f} MB are needed, half of this machine's memory is {half:,.0f}"
+            f"about {needed_mb:,.0f} MB are needed, half of this machine's memory is {limit_mb:,.0f}"
         )
-    if path is not None and not path.parent.is_dir():
-        raise click.UsageError(f"--json: there is no folder {path.parent}")
-    console = Console(stderr=True)
-    with console.status("starting") as status:
 
-        def say(text: str) -> None:
-            status.update(text)
 
-        report = scale_run.play(plan, ["python", "-m", "testbed", *sys.argv[1:]], say)
-    show(report, Console(width=None if sys.stdout.isatty() else 150))
-    if path is not None:
-        path.write_bytes(msgspec.json.format(msgspec.json.encode(report), indent=2) + b"\n")
+def _write_report(report: Report, path: Path) -> None:
+    path.write_bytes(msgspec.json.format(msgspec.json.encode(report), indent=2) + b"\n")
 
 
 def main() -> int:
-    """0 after a whole run; 2 with one plain line for bad arguments; 1 where a run fails; 130 after Ctrl-C."""
+    """Run the command line.
+
+    Returns:
+        The exit status; each error is one plain line on standard error.
+    """
     try:
         cli.main(standalone_mode=False, prog_name="python -m testbed")
     except click.exceptions.NoArgsIsHelpError as error:
         print(error.format_message())
-        return 2
+        return ExitStatus.USAGE_ERROR
     except click.ClickException as error:
         print(f"testbed: {error.format_message()}".replace("\n", " "), file=sys.stderr)
-        return 2
-    except (ChildError, OSError) as error:
+        return ExitStatus.USAGE_ERROR
+    except (ExperimentError, OSError) as error:
         print(f"testbed: {error}", file=sys.stderr)
-        return 1
+        return ExitStatus.EXPERIMENT_FAILED
     except (asyncio.CancelledError, click.Abort, KeyboardInterrupt):
-        print("testbed: ended before its time; all processes are ended", file=sys.stderr)
-        return 130
-    return 0
+        print("testbed: interrupted; all processes are ended", file=sys.stderr)
+        return ExitStatus.INTERRUPTED
+    return ExitStatus.SUCCESS
--- /dev/null
+++ b/testbed/counter_server.py
@@ -0,0 +1,132 @@
+"""Emulator of the shared counter: totals by name, partitioned, with a bounded rate of calls."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+import zlib
+from typing import NamedTuple
+from urllib.parse import parse_qs, urlsplit
+
+from testbed.http_server import Request, TrafficCounters, encode_response
+
+PATH_PREFIX = "/v1/count/"
+MAX_NAME_LENGTH = 64
+MAX_AMOUNT = 1e9
+MAX_LIFETIME_MS = 60_000.0
+LATE_RESPONSE_DELAY_S = 2.0  # beyond the timeout of every caller
+
+
+class Increment(NamedTuple):
+    """One increment.
+
+    Attributes:
+        name: Name of the total.
+        amount: What is added.
+        lifetime_s: How long a new total lives, in seconds.
+    """
+
+    name: str
+    amount: float
+    lifetime_s: float
+
+
+def parse_increment(target: str) -> Increment | None:
+    """Parse a request target.
+
+    Args:
+        target: The request target, `/v1/count/NAME?add=AMOUNT&ttl_ms=LIFETIME`.
+
+    Returns:
+        The increment, or None for a malformed target.
+    """
+    url = urlsplit(target)
+    query = parse_qs(url.query)
+    try:
+        amount = float(query["add"][0])
+        lifetime_s = min(float(query["ttl_ms"][0]), MAX_LIFETIME_MS) / 1000
+    except (KeyError, ValueError):
+        return None
+    name = url.path.removeprefix(PATH_PREFIX)
+    if not url.path.startswith(PATH_PREFIX) or not 0 < len(name) <= MAX_NAME_LENGTH:
+        return None
+    if abs(amount) > MAX_AMOUNT:
+        return None
+    return Increment(name, amount, lifetime_s)
+
+
+class _Total(NamedTuple):
+    value: float
+    expires_at: float  # seconds, loop time
+
+
+class CounterServer:
+    """Counter whose partitions process calls one after another and reject calls beyond their queues.
+
+    Attributes:
+        traffic: Counts of requests, bytes and connections.
+        calls: Valid calls so far.
+        rejected_calls: Calls that got status 503.
+        rejected_share: Part of the calls to reject whatever the queue is, from 0 to 1.
+        late_share: Part of the processed calls to respond to only after their callers' timeouts.
+    """
+
+    def __init__(
+        self,
+        calls_per_s: float,
+        partitions: int = 2,
+        max_queue_s: float = 0.1,
+        rejected_share: float = 0.0,
+        seed: int = 1,
+    ) -> None:
+        """Initialize the counter.
+
+        Args:
+            calls_per_s: Calls a second that all partitions process together.
+            partitions: Number of partitions.
+            max_queue_s: Longest time that a call may wait, in seconds.
+            rejected_share: Part of the calls to reject whatever the queue is, from 0 to 1.
+            seed: Seed of the random generator.
+        """
+        self.traffic = TrafficCounters()
+        self.calls = 0
+        self.rejected_calls = 0
+        self.rejected_share = rejected_share
+        self.late_share = 0.0
+        self._max_queue_s = max_queue_s
+        self._call_s = partitions / calls_per_s
+        self._busy_until = [0.0] * partitions
+        self._totals: dict[str, _Total] = {}
+        self._rng = random.Random(seed)
+
+    def handle(self, request: Request) -> None:
+        """Queue one call, or respond with its error at once."""
+        increment = parse_increment(request.target)
+        if increment is None:
+            request.respond(encode_response(400))
+            return
+        self.calls += 1
+        loop = asyncio.get_running_loop()
+        now = loop.time()
+        partition = zlib.crc32(increment.name.encode()) % len(self._busy_until)
+        done_at = max(self._busy_until[partition], now) + self._call_s
+        if done_at - now > self._max_queue_s or self._rng.random() < self.rejected_share:
+            self.rejected_calls += 1
+            request.respond(encode_response(503))
+            return
+        self._busy_until[partition] = done_at
+        loop.call_at(done_at, self._process, request, increment)
+
+    def _process(self, request: Request, increment: Increment) -> None:
+        loop = asyncio.get_running_loop()
+        now = loop.time()
+        total = self._totals.get(increment.name)
+        if total is None or now >= total.expires_at:
+            total = _Total(0.0, now + increment.lifetime_s)
+        total = _Total(total.value + increment.amount, total.expires_at)
+        self._totals[increment.name] = total
+        response = encode_response(200, f"{total.value:.7g}".encode())
+        if self._rng.random() < self.late_share:
+            loop.call_later(LATE_RESPONSE_DELAY_S, request.respond, response)
+        else:
+            request.respond(response)
--- /dev/null
+++ b/testbed/endpoint_server.py
@@ -0,0 +1,55 @@
+"""Emulator of upstream endpoints: any number of them behind a few ports of one process."""
+
+from __future__ import annotations
+
+import asyncio
+import math
+import random
+
+from testbed.http_server import Request, TrafficCounters, encode_response
+
+MEAN_SERVICE_MS = 20.0
+SERVICE_VARIATION = 0.8  # coefficient of variation: standard deviation over mean
+
+
+class ServiceTimes:
+    """Lognormal service times."""
+
+    def __init__(self, mean_ms: float, variation: float, seed: int) -> None:
+        """Initialize the distribution.
+
+        Args:
+            mean_ms: Mean service time in milliseconds.
+            variation: Coefficient of variation.
+            seed: Seed of the random generator.
+        """
+        self._rng = random.Random(seed)
+        self._sigma = math.sqrt(math.log(1 + variation * variation))
+        self._mu = math.log(mean_ms / 1000) - self._sigma**2 / 2
+
+    def draw(self) -> float:
+        """Return the next service time in seconds."""
+        return self._rng.lognormvariate(self._mu, self._sigma)
+
+
+class EndpointServer:
+    """Responds to each request after its service time, with that time (microseconds) as the body."""
+
+    def __init__(
+        self, mean_ms: float = MEAN_SERVICE_MS, variation: float = SERVICE_VARIATION, seed: int = 1
+    ) -> None:
+        """Initialize the server.
+
+        Args:
+            mean_ms: Mean service time in milliseconds.
+            variation: Coefficient of variation of the service time.
+            seed: Seed of the random generator.
+        """
+        self.traffic = TrafficCounters()
+        self._service_times = ServiceTimes(mean_ms, variation, seed)
+
+    def handle(self, request: Request) -> None:
+        """Respond to one request after its service time."""
+        service_s = self._service_times.draw()
+        response = encode_response(200, b"%d" % (service_s * 1e6), b"Content-Type: text/plain\r\n")
+        asyncio.get_running_loop().call_later(service_s, request.respond, response)
--- /dev/null
+++ b/testbed/gateway_configuration.py
@@ -0,0 +1,151 @@
+"""Gateway configurations and endpoint lists of an experiment, in the form of the configuration file."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Any
+
+from testbed.discovery_server import Instance
+
+ZONES = 5
+ENDPOINTS_PER_CELL = 6
+SAFE_CLASS = "read"
+UNSAFE_CLASS = "order"
+UNSAFE_CLASS_INTERVAL = 4  # every fourth request may not be repeated
+REQUEST_UNITS = (1, 2, 3)  # equally frequent
+MAX_REQUEST_UNITS = 6
+BURST_S = 4.0  # seconds of refill that a token bucket holds
+REQUEST_DEADLINE_MS = 4000.0
+PLAN_NAME = "team"
+MAX_SOCKETS = 1024
+CLASSES = [
+    {
+        "name": SAFE_CLASS,
+        "objective_ms": 1000.0,
+        "deadline_ms": REQUEST_DEADLINE_MS,
+        "worth": 1.0,
+        "effect": "safe",
+    },
+    {
+        "name": UNSAFE_CLASS,
+        "objective_ms": 1500.0,
+        "deadline_ms": REQUEST_DEADLINE_MS,
+        "worth": 3.0,
+        "effect": "unsafe",
+    },
+]
+
+
+@dataclass(frozen=True, kw_only=True)
+class FleetConfiguration:
+    """What the configurations of all gateways of a fleet share.
+
+    Attributes:
+        fleet_size: Number of gateways.
+        discovery_address: HOST:PORT of discovery.
+        counter_address: HOST:PORT of the counter.
+        discovery_by_polling: Whether discovery sends the list only on request.
+        seed: Seed of the experiment.
+        refill: Units a second of each tenant's quota.
+    """
+
+    fleet_size: int
+    discovery_address: str
+    counter_address: str
+    discovery_by_polling: bool
+    seed: int
+    refill: float
+
+
+def class_of_request(number: int) -> str:
+    """Return the class of the request with this serial number."""
+    return SAFE_CLASS if number % UNSAFE_CLASS_INTERVAL else UNSAFE_CLASS
+
+
+def bucket_capacity(refill: float) -> float:
+    """Return the capacity of a tenant's token bucket, in units.
+
+    Args:
+        refill: Units a second that the token bucket gains.
+
+    Returns:
+        Some seconds of refill, and never less than the largest request.
+    """
+    return max(BURST_S * refill, float(MAX_REQUEST_UNITS))
+
+
+def create_instances(count: int, addresses: list[str]) -> list[Instance]:
+    """Create endpoints spread over zones, cells and addresses.
+
+    Args:
+        count: Number of endpoints.
+        addresses: HOST:PORT of the sockets that respond for them.
+
+    Returns:
+        The endpoints.
+    """
+    return [
+        Instance(f"s-{i:06x}", addresses[i % len(addresses)], f"zone-{i % ZONES}", i // ENDPOINTS_PER_CELL)
+        for i in range(count)
+    ]
+
+
+def gateway_configuration(fleet: FleetConfiguration, index: int) -> dict[str, Any]:
+    """Create the content of one gateway's configuration file.
+
+    Args:
+        fleet: What all gateways share.
+        index: Number of the gateway in the fleet.
+
+    Returns:
+        The object to encode as JSON.
+    """
+    return {
+        "name": f"n{index}",
+        "listen": "127.0.0.1:0",
+        "discovery": fleet.discovery_address,
+        "counter": fleet.counter_address,
+        "seed": f"{fleet.seed + index:x}",
+        "limits": {"cores": 1.0, "memory_mb": 256, "sockets": MAX_SOCKETS},
+        "settings": {
+            "grades": CLASSES,
+            "packages": [_plan(fleet.refill)],
+            "fleet_size": fleet.fleet_size,
+            "me": index,
+            "zone": f"zone-{index % ZONES}",
+            "tick_ms": 2.0,
+            "membership_mode": "on_request" if fleet.discovery_by_polling else "pushed",
+            "rules": {
+                "stop_sending_within_ms": 250.0,
+                "cold_from": 0.2,
+                "cold_ms": 10000.0,
+                "fall_multiple": 2.5,
+                "tip_after_ms": 2000.0,
+                "must_ask_in_ms": 10000.0,
+            },
+            "bounds": {
+                "try_limit": 3,
+                "cancel": True,
+                "retry_after": True,
+                "max_retry_after_ms": 500.0,
+                "dial_timeout_ms": 250.0,
+                "conn_idle_ms": 30000.0,
+            },
+            "family_info": {
+                "may_count": True,
+                "count_wait_ms": 80.0,
+                "trued_up": False,
+                "most_units": MAX_REQUEST_UNITS,
+            },
+        },
+    }
+
+
+def _plan(refill: float) -> dict[str, Any]:
+    return {
+        "name": PLAN_NAME,
+        "refill": refill,
+        "burst": bucket_capacity(refill),
+        "worth_factor": 1.0,
+        "over_cost": 1.0,
+    }
--- a/testbed/latency.py
+++ b/testbed/latency.py
@@ -1,41 +1,67 @@
-"""Histograms of the time that gateways add, recorded in one process and read over all of them."""
+"""Histograms of the latency that gateways add, recorded in several processes and merged."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
+from dataclasses import dataclass
 
 from hdrh.histogram import HdrHistogram
 
-from testbed.plan import Latency
+MIN_LATENCY_US = 1
+MAX_LATENCY_US = 60_000_000
+SIGNIFICANT_DIGITS = 3
 
-HIGHEST_US = 60_000_000
 
+def _new_histogram() -> HdrHistogram:
+    return HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
-class Added:
-    """Times added to requests, from 1 microsecond to a minute, to three digits."""
+
+@dataclass(frozen=True, slots=True)
+class LatencyPercentiles:
+    """Percentiles in milliseconds, and the number of recorded values."""
+
+    p50: float
+    p99: float
+    p999: float
+    count: int
+
+
+class LatencyRecorder:
+    """Records latencies from a microsecond to a minute with three significant digits."""
 
     def __init__(self) -> None:
-        self._histogram = HdrHistogram(1, HIGHEST_US, 3)
+        self._histogram = _new_histogram()
 
     def record(self, seconds: float) -> None:
-        """One more; what lies outside counts as the bound."""
-        self._histogram.record_value(min(max(int(seconds * 1e6), 1), HIGHEST_US))
+        """Record a latency; a value out of range counts as the nearest bound.
+
+        Args:
+            seconds: The latency in seconds.
+        """
+        self._histogram.record_value(min(max(int(seconds * 1e6), MIN_LATENCY_US), MAX_LATENCY_US))
 
     def count(self) -> int:
-        """How many there are."""
+        """Return the number of recorded latencies."""
         return self._histogram.get_total_count()
 
     def encode(self) -> str:
-        """As text, for `quantiles` in another process."""
+        """Return the histogram as text for `merge_percentiles`."""
         return self._histogram.encode().decode()
 
 
-def quantiles(encoded: Iterable[str]) -> Latency | None:
-    """The quantiles over the times of several processes; None where there are none."""
-    whole = HdrHistogram(1, HIGHEST_US, 3)
-    for text in encoded:
-        whole.decode_and_add(text.encode())
-    if not whole.get_total_count():
+def merge_percentiles(encoded_histograms: Iterable[str]) -> LatencyPercentiles | None:
+    """Merge histograms of several processes.
+
+    Args:
+        encoded_histograms: Results of `LatencyRecorder.encode`.
+
+    Returns:
+        Percentiles over all values, or None without any value.
+    """
+    merged = _new_histogram()
+    for encoded in encoded_histograms:
+        merged.decode_and_add(encoded.encode())
+    if not merged.get_total_count():
         return None
-    at = [whole.get_value_at_percentile(p) / 1000 for p in (50, 99, 99.9)]
-    return Latency(p50=at[0], p99=at[1], p999=at[2], count=whole.get_total_count())
+    p50, p99, p999 = (merged.get_value_at_percentile(percent) / 1000 for percent in (50, 99, 99.9))
+    return LatencyPercentiles(p50, p99, p999, merged.get_total_count())
--- /dev/null
+++ b/testbed/linear_fit.py
@@ -0,0 +1,46 @@
+"""Least-squares lines through a few measured points."""
+
+from __future__ import annotations
+
+import statistics
+from collections.abc import Sequence
+from dataclasses import dataclass
+
+MIN_POINTS = 3
+
+
+@dataclass(frozen=True, slots=True)
+class LinearFit:
+    """The line y = intercept + slope * x.
+
+    Attributes:
+        intercept: Value of the line at x = 0, in the unit of y.
+        slope: Units of y for each unit of x.
+        residual_deviation: Standard deviation of the residuals, with two degrees of freedom less than there
+            are points, in the unit of y.
+    """
+
+    intercept: float
+    slope: float
+    residual_deviation: float
+
+
+def fit_line(xs: Sequence[float], ys: Sequence[float]) -> LinearFit:
+    """Fit a line by least squares.
+
+    Args:
+        xs: At least three values.
+        ys: As many values as `xs`.
+
+    Returns:
+        The fitted line.
+
+    Raises:
+        ValueError: There are fewer than three points, or the lengths differ.
+    """
+    if len(xs) < MIN_POINTS or len(xs) != len(ys):
+        raise ValueError("a slope needs three sizes or more")
+    slope, intercept = statistics.linear_regression(xs, ys)
+    residuals = [y - intercept - slope * x for x, y in zip(xs, ys, strict=True)]
+    variance = sum(residual * residual for residual in residuals) / (len(xs) - 2)
+    return LinearFit(intercept, slope, variance**0.5)
--- /dev/null
+++ b/testbed/scale/__init__.py
@@ -0,0 +1,1 @@
+"""The scale experiment: one fleet with endpoint lists of three sizes, idle and under load."""
--- /dev/null
+++ b/testbed/scale/experiment.py
@@ -0,0 +1,236 @@
+"""The scale experiment: one fleet after another, with endpoint lists of growing size."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import os
+import platform
+import shlex
+import signal
+import tempfile
+import time
+from collections import Counter
+from collections.abc import Callable, Sequence
+from pathlib import Path
+
+from testbed import gateway_configuration
+from testbed.errors import ExperimentTimeoutError, NoRequestServedError
+from testbed.messages import (
+    CounterStatistics,
+    CountOutdated,
+    DiscoveryStatistics,
+    GatewayCount,
+    ReplaceEndpoints,
+    RunLoad,
+    SetRejectedShare,
+    SimulatedLoadResult,
+)
+from testbed.process import ProcessGroup
+from testbed.quota_accounting import ForwardedRequest, account_quotas
+from testbed.scale.fits import fit_sizes
+from testbed.scale.fleet import READY_TIMEOUT_S, Fleet
+from testbed.scale.measurement import Interval, LoadMeasurement, measure_roles, take_snapshot
+from testbed.scale.plan import Plan
+from testbed.scale.report import EndpointReplacement, QuotaFigures, Report, SizeFigures
+
+MAX_PROCESSES = 300
+SETTLING_S = 0.5  # between the start and the measurement without load
+MIN_IDLE_S = 1.0
+CALIBRATION_S = 0.5
+MIN_QUOTA_LOAD_S = 5.0
+REPLACED_FRACTION = 50  # one of so many endpoints is replaced
+PROPAGATION_POLL_INTERVAL_S = 0.01
+AFTER_REPLACEMENT_S = 1.0  # how long the cost of a replacement is measured after all gateways know it
+NOTES = (
+    "All processes ran on one machine: compare slopes, not single figures.",
+    'Simulated ("hollow") gateways have no client or endpoint sockets; the cost of these shows at the real'
+    " gateways.",
+    "A message is a request to that role; a long poll of discovery is one.",
+)
+
+StatusCallback = Callable[[str], None]
+
+
+def run_experiment(plan: Plan, command: Sequence[str], show_status: StatusCallback) -> Report:
+    """Run the experiment; SIGINT and SIGTERM end all processes first.
+
+    Args:
+        plan: What to run.
+        command: The command line, for the report.
+        show_status: Called with what runs now.
+
+    Returns:
+        The report.
+
+    Raises:
+        ExperimentError: The experiment failed.
+        asyncio.CancelledError: A signal interrupted it.
+    """
+    with contextlib.closing(asyncio.new_event_loop()) as loop:
+        task = loop.create_task(_run(plan, command, show_status))
+        for number in (signal.SIGINT, signal.SIGTERM):
+            loop.add_signal_handler(number, task.cancel)
+        return loop.run_until_complete(task)
+
+
+async def _run(plan: Plan, command: Sequence[str], show_status: StatusCallback) -> Report:
+    started_at = time.monotonic()
+    sizes = []
+    with tempfile.TemporaryDirectory(prefix="testbed-") as folder:
+        for endpoints in plan.endpoint_counts():
+            async with ProcessGroup(MAX_PROCESSES) as group:
+                experiment = SizeExperiment(Fleet(plan, endpoints, group, Path(folder)), show_status)
+                sizes.append(await experiment.run())
+                if endpoints == plan.endpoints:
+                    quotas = await experiment.measure_quotas()
+    return Report(
+        plan=plan,
+        command=shlex.join(command),
+        machine=platform.machine(),
+        cores=os.cpu_count() or 0,
+        duration_s=time.monotonic() - started_at,
+        sizes=sizes,
+        fits=fit_sizes(sizes),
+        quotas=quotas,
+        notes=list(NOTES),
+    )
+
+
+class SizeExperiment:
+    """The experiment with one size of the endpoint list."""
+
+    def __init__(self, fleet: Fleet, show_status: StatusCallback) -> None:
+        """Initialize the experiment.
+
+        Args:
+            fleet: A fleet that is not started yet.
+            show_status: Called with what runs now.
+        """
+        self._fleet, self._plan = fleet, fleet.plan
+        self._show_status = show_status
+
+    async def run(self) -> SizeFigures:
+        """Start the fleet, measure it idle and under load, then replace some endpoints.
+
+        Raises:
+            NoRequestServedError: No request was served.
+            ExperimentTimeoutError: The fleet did not reach a state in time.
+            ProcessError: A process ended or did not reply in time.
+        """
+        fleet, plan = self._fleet, self._plan
+        self._show(f"starting {plan.simulated_gateways} simulated and {plan.real_gateways} real gateways")
+        start_s = await fleet.start()
+        await asyncio.sleep(SETTLING_S)
+        measurement = await self._measure_load()
+        if not any(result.requests_served for result in measurement.simulated_results) and not (
+            measurement.real_result and measurement.real_result.requests_served
+        ):
+            raise NoRequestServedError
+        return SizeFigures(
+            endpoints=fleet.endpoints,
+            start_s=start_s,
+            roles=measure_roles(fleet, measurement),
+            max_over_mean_load=_max_over_mean_load(measurement.simulated_results, fleet.endpoints),
+            full_list_bytes=measurement.load.end.discovery.full_list_bytes,
+            start_bytes_per_gateway=measurement.idle.start.discovery.bytes / plan.fleet_size,
+            replacement=await self._measure_replacement(),
+        )
+
+    async def measure_quotas(self) -> QuotaFigures:
+        """Measure what is forwarded over quotas while the counter rejects calls."""
+        fleet, plan = self._fleet, self._plan
+        seconds = max(plan.load_s, MIN_QUOTA_LOAD_S)
+        self._show(f"load with {plan.counter_rejected_share:.0%} of the counter's calls rejected")
+        before = await fleet.counter.execute(
+            SetRejectedShare(share=plan.counter_rejected_share), CounterStatistics
+        )
+        results = await fleet.run_simulated_load(RunLoad(seconds=seconds, include_requests=True))
+        after = await fleet.counter.execute(SetRejectedShare(share=0.0), CounterStatistics)
+        requested_units: Counter[int] = Counter()
+        for result in results:
+            requested_units.update(result.requested_units)
+        usage = account_quotas(
+            [ForwardedRequest(*entry) for result in results for entry in result.forwarded],
+            requested_units,
+            refill=fleet.refill,
+            burst=gateway_configuration.bucket_capacity(fleet.refill),
+            seconds=seconds,
+        )
+        rejected_calls = after.rejected_calls - before.rejected_calls
+        return QuotaFigures(
+            configured_rejected_share=plan.counter_rejected_share,
+            rejected_share=rejected_calls / max(after.calls - before.calls, 1),
+            units_within_quota=usage.units_within_quota,
+            units_over_quota=usage.units_over_quota,
+            over_quota_share=usage.units_over_quota / usage.units_allowed if usage.units_allowed else 0.0,
+        )
+
+    async def _measure_load(self) -> LoadMeasurement:
+        fleet, plan = self._fleet, self._plan
+        self._show("idle")
+        idle_start = await take_snapshot(fleet)
+        await asyncio.sleep(max(plan.load_s / 2, MIN_IDLE_S))
+        idle_end = await take_snapshot(fleet)
+        self._show("cost of the load generation")
+        calibration_results = await fleet.run_simulated_load(
+            RunLoad(seconds=CALIBRATION_S, bypass_gateways=True)
+        )
+        calibration_end = await take_snapshot(fleet)
+        self._show(f"load for {plan.load_s:g} s")
+        simulated_results, real_result = await fleet.run_load(plan.load_s)
+        load_end = await take_snapshot(fleet)
+        return LoadMeasurement(
+            idle=Interval(idle_start, idle_end),
+            calibration=Interval(idle_end, calibration_end),
+            load=Interval(calibration_end, load_end),
+            calibration_results=calibration_results,
+            simulated_results=simulated_results,
+            real_result=real_result,
+        )
+
+    async def _measure_replacement(self) -> EndpointReplacement:
+        fleet = self._fleet
+        count = max(fleet.endpoints // REPLACED_FRACTION, 1)
+        self._show(f"replacement of {count} endpoints")
+        before = await take_snapshot(fleet)
+        discovery = await fleet.discovery.execute(ReplaceEndpoints(count=count), DiscoveryStatistics)
+        propagation_s = await self._wait_until_known(discovery.generation)
+        await asyncio.sleep(AFTER_REPLACEMENT_S)
+        interval = Interval(before, await take_snapshot(fleet))
+        sent_bytes = interval.end.discovery.bytes - interval.start.discovery.bytes
+        cpu_s = interval.cpu_s(fleet.simulated_gateways)
+        return EndpointReplacement(
+            endpoints_replaced=count,
+            propagation_s=propagation_s,
+            bytes_per_gateway=sent_bytes / self._plan.fleet_size,
+            cpu_ms_per_gateway=cpu_s / self._plan.simulated_gateways * 1000,
+        )
+
+    async def _wait_until_known(self, generation: int) -> float:
+        started_at = time.monotonic()
+        while await self._count_outdated(generation):
+            if time.monotonic() - started_at > READY_TIMEOUT_S:
+                raise ExperimentTimeoutError(
+                    f"not all gateways knew a change of the endpoint list after {READY_TIMEOUT_S:g} s"
+                )
+            await asyncio.sleep(PROPAGATION_POLL_INTERVAL_S)
+        return time.monotonic() - started_at
+
+    async def _count_outdated(self, generation: int) -> int:
+        outdated = 0
+        for process in self._fleet.simulated_gateways:
+            outdated += (await process.execute(CountOutdated(generation=generation), GatewayCount)).count
+        return outdated
+
+    def _show(self, text: str) -> None:
+        self._show_status(f"{self._fleet.endpoints} endpoints: {text}")
+
+
+def _max_over_mean_load(results: Sequence[SimulatedLoadResult], endpoints: int) -> float:
+    """Attempts at the busiest endpoint, divided by the mean over all endpoints."""
+    attempts: Counter[str] = Counter()
+    for result in results:
+        attempts.update(result.attempts_by_endpoint)
+    mean = sum(attempts.values()) / endpoints
+    return max(attempts.values(), default=0) / mean if mean else 0.0
--- /dev/null
+++ b/testbed/scale/fleet.py
@@ -0,0 +1,216 @@
+"""All processes of a fleet with one size of the endpoint list."""
+
+from __future__ import annotations
+
+import asyncio
+import re
+import statistics
+import time
+import tomllib
+from pathlib import Path
+
+import msgspec
+
+from testbed import gateway_configuration
+from testbed.errors import ExperimentTimeoutError
+from testbed.gateway_configuration import FleetConfiguration
+from testbed.messages import (
+    CounterConfig,
+    CountReady,
+    DiscoveryConfig,
+    EndpointConfig,
+    GatewayCount,
+    LoadGeneratorConfig,
+    LoadResult,
+    RunLoad,
+    SimulatedGatewaysConfig,
+    SimulatedLoadResult,
+)
+from testbed.process import ROOT, ChildProcess, ProcessGroup, ProcessRole
+from testbed.scale.plan import GATEWAYS_PER_PROCESS, Plan
+
+DEPLOY_FILE = ROOT / "deploy" / "balancer.toml"
+COUNTER_CALLS_PER_S = 20_000.0
+ENDPOINT_PROCESSES = 2
+PORTS_PER_ENDPOINT_PROCESS = 32
+UNUSED_ADDRESS = "127.0.0.1:9"  # of endpoints that only simulated gateways send to
+MIN_REFILL = 0.05  # units a second
+READY_TIMEOUT_S = 120.0
+READY_POLL_INTERVAL_S = 0.05
+LISTENING_LOG_LINE = re.compile(rb"listening on 127\.0\.0\.1:(\d+)")
+
+
+class Fleet:
+    """The processes of a fleet and of the systems around it.
+
+    Attributes:
+        plan: The experiment.
+        endpoints: Size of the endpoint list.
+        group: All processes.
+        refill: Units a second of each tenant's quota.
+        endpoint_servers: Processes of the endpoints of real gateways.
+        discovery: Process of discovery.
+        counter: Process of the counter.
+        simulated_gateways: Processes of simulated gateways.
+        real_gateways: Processes of real gateways.
+        load_generator: Process of the load on real gateways, if there are any.
+    """
+
+    discovery: ChildProcess
+    counter: ChildProcess
+
+    def __init__(self, plan: Plan, endpoints: int, group: ProcessGroup, folder: Path) -> None:
+        """Initialize a fleet that `start` starts.
+
+        Args:
+            plan: The experiment.
+            endpoints: Size of the endpoint list.
+            group: Ends the processes.
+            folder: Where the configuration files of real gateways are written.
+        """
+        self.plan, self.endpoints, self.group = plan, endpoints, group
+        self._folder = folder
+        mean_units = statistics.mean(gateway_configuration.REQUEST_UNITS)
+        self.refill = max(mean_units * plan.requests_per_s * plan.fleet_size / plan.tenants, MIN_REFILL)
+        self.endpoint_servers: list[ChildProcess] = []
+        self.simulated_gateways: list[ChildProcess] = []
+        self.real_gateways: list[ChildProcess] = []
+        self.load_generator: ChildProcess | None = None
+
+    async def start(self) -> float:
+        """Start all processes.
+
+        Returns:
+            Seconds from the start of the first gateway until all were ready.
+
+        Raises:
+            ExperimentTimeoutError: Not all gateways were ready in time.
+            ProcessError: A process ended or did not reply in time.
+        """
+        endpoint_addresses = await self._start_endpoints()
+        configuration = await self._start_discovery_and_counter(endpoint_addresses)
+        started_at = time.monotonic()
+        await self._start_simulated_gateways(configuration)
+        await self._start_real_gateways(configuration)
+        gateway_addresses = await self._wait_until_ready(started_at)
+        ready_after_s = time.monotonic() - started_at
+        if self.real_gateways:
+            await self._start_load_generator(gateway_addresses)
+        return ready_after_s
+
+    async def run_load(self, seconds: float) -> tuple[list[SimulatedLoadResult], LoadResult | None]:
+        """Generate load on all gateways at once.
+
+        Args:
+            seconds: Duration of the load.
+
+        Returns:
+            The results of each process of simulated gateways, and that of the real gateways, if any.
+        """
+        command = RunLoad(seconds=seconds)
+        if self.load_generator is None:
+            return await self.run_simulated_load(command), None
+        return await asyncio.gather(
+            self.run_simulated_load(command),
+            self.load_generator.execute(command, LoadResult, _load_timeout_s(seconds)),
+        )
+
+    async def run_simulated_load(self, command: RunLoad) -> list[SimulatedLoadResult]:
+        """Generate load on simulated gateways alone, and return the result of each process."""
+        timeout_s = _load_timeout_s(command.seconds)
+        return await asyncio.gather(
+            *(process.execute(command, SimulatedLoadResult, timeout_s) for process in self.simulated_gateways)
+        )
+
+    async def _start_endpoints(self) -> list[str]:
+        if not self.plan.real_gateways:
+            return [UNUSED_ADDRESS]
+        addresses = []
+        for i in range(ENDPOINT_PROCESSES):
+            config = EndpointConfig(seed=self.plan.seed + i, ports=PORTS_PER_ENDPOINT_PROCESS)
+            process, started = await self.group.start_worker(ProcessRole.ENDPOINTS, config)
+            self.endpoint_servers.append(process)
+            addresses += started.addresses
+        return addresses
+
+    async def _start_discovery_and_counter(self, endpoint_addresses: list[str]) -> FleetConfiguration:
+        plan = self.plan
+        self.discovery, discovery_started = await self.group.start_worker(
+            ProcessRole.DISCOVERY,
+            DiscoveryConfig(
+                instances=gateway_configuration.create_instances(self.endpoints, endpoint_addresses),
+                calls_per_s=plan.discovery_calls_per_s if plan.discovery_by_polling else 0.0,
+            ),
+        )
+        self.counter, counter_started = await self.group.start_worker(
+            ProcessRole.COUNTER, CounterConfig(calls_per_s=COUNTER_CALLS_PER_S)
+        )
+        return FleetConfiguration(
+            fleet_size=plan.fleet_size,
+            discovery_address=discovery_started.addresses[0],
+            counter_address=counter_started.addresses[0],
+            discovery_by_polling=plan.discovery_by_polling,
+            seed=plan.seed,
+            refill=self.refill,
+        )
+
+    async def _start_simulated_gateways(self, configuration: FleetConfiguration) -> None:
+        plan = self.plan
+        for first_index in range(0, plan.simulated_gateways, GATEWAYS_PER_PROCESS):
+            config = SimulatedGatewaysConfig(
+                fleet=configuration,
+                first_index=first_index,
+                count=min(GATEWAYS_PER_PROCESS, plan.simulated_gateways - first_index),
+                tenants=plan.tenants,
+                requests_per_s=plan.requests_per_s,
+                traffic_share_shape=plan.traffic_share_shape,
+            )
+            process, _ = await self.group.start_worker(ProcessRole.SIMULATED_GATEWAYS, config)
+            self.simulated_gateways.append(process)
+
+    async def _start_real_gateways(self, configuration: FleetConfiguration) -> None:
+        command = tomllib.loads(DEPLOY_FILE.read_text())["run"]
+        for index in range(self.plan.simulated_gateways, self.plan.fleet_size):
+            path = self._folder / f"n{index}-{self.endpoints}.json"
+            content = gateway_configuration.gateway_configuration(configuration, index)
+            path.write_bytes(msgspec.json.encode(content))
+            self.real_gateways.append(await self.group.start_gateway(command, path))
+
+    async def _wait_until_ready(self, started_at: float) -> list[str]:
+        expected = self.plan.simulated_gateways
+        while True:
+            ready = await self._count_ready()
+            addresses = self._listening_addresses()
+            if ready == expected and len(addresses) == self.plan.real_gateways:
+                return addresses
+            if time.monotonic() - started_at > READY_TIMEOUT_S:
+                raise ExperimentTimeoutError(
+                    f"{ready} of {expected} simulated gateways ready after {READY_TIMEOUT_S:g} s"
+                )
+            await asyncio.sleep(READY_POLL_INTERVAL_S)
+
+    async def _count_ready(self) -> int:
+        ready = 0
+        for process in self.simulated_gateways:
+            reply = await process.execute(CountReady(), GatewayCount, READY_TIMEOUT_S)
+            ready += reply.count
+        return ready
+
+    def _listening_addresses(self) -> list[str]:
+        matches = [LISTENING_LOG_LINE.search(process.stderr_tail) for process in self.real_gateways]
+        return [f"127.0.0.1:{match[1].decode()}" for match in matches if match]
+
+    async def _start_load_generator(self, gateway_addresses: list[str]) -> None:
+        plan = self.plan
+        config = LoadGeneratorConfig(
+            addresses=gateway_addresses,
+            fleet_size=plan.fleet_size,
+            tenants=plan.tenants,
+            requests_per_s=plan.real_requests_per_s,
+            seed=plan.seed,
+        )
+        self.load_generator, _ = await self.group.start_worker(ProcessRole.LOAD_GENERATOR, config)
+
+
+def _load_timeout_s(seconds: float) -> float:
+    return 4 * seconds + 60
--- /dev/null
+++ b/testbed/scale/plan.py
@@ -0,0 +1,91 @@
+"""What a scale experiment runs."""
+
+from __future__ import annotations
+
+import os
+
+import msgspec
+
+GATEWAYS_PER_PROCESS = 100  # simulated gateways
+MIN_ENDPOINTS = 4
+PROCESS_MEMORY_MB = 60.0  # of a worker
+EMULATED_SYSTEM_PROCESSES = 5
+SIMULATED_GATEWAY_MEMORY_MB = 0.3  # without endpoints
+REAL_GATEWAY_MEMORY_MB = 40.0  # without endpoints
+ENDPOINT_MEMORY_MB = 1.0 / 1024  # of one endpoint in each gateway
+BYTES_PER_MB = 2**20
+
+
+class Plan(
+    msgspec.Struct,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "simulated_gateways": "gateways",
+        "real_gateways": "real",
+        "endpoints": "hosts",
+        "tenants": "customers",
+        "load_s": "seconds",
+        "requests_per_s": "rate",
+        "real_requests_per_s": "real_rate",
+        "traffic_share_shape": "skew",
+        "discovery_by_polling": "asked",
+        "discovery_calls_per_s": "discovery_calls",
+        "counter_rejected_share": "turned_away",
+    },
+):
+    """One scale experiment, as given on the command line.
+
+    Attributes:
+        simulated_gateways: Number of simulated gateways.
+        real_gateways: Number of gateway processes.
+        endpoints: Size of the largest endpoint list.
+        tenants: Number of tenants that requests belong to.
+        load_s: Duration of each load, in seconds.
+        requests_per_s: Mean requests a second to each simulated gateway.
+        real_requests_per_s: Requests a second to each real gateway.
+        traffic_share_shape: Shape of the gamma distribution of the gateways' shares of the traffic; the
+            smaller, the less even.
+        discovery_by_polling: Whether discovery sends the endpoint list only on request.
+        discovery_calls_per_s: Calls a second that discovery processes if it is polled.
+        counter_rejected_share: Part of the calls that the counter rejects while quotas are measured.
+        seed: Seed of all random draws.
+    """
+
+    simulated_gateways: int
+    real_gateways: int = 0
+    endpoints: int = 1000
+    tenants: int = 1000
+    load_s: float = 5.0
+    requests_per_s: float = 10.0
+    real_requests_per_s: float = 122.0
+    traffic_share_shape: float = 1.0
+    discovery_by_polling: bool = False
+    discovery_calls_per_s: float = 400.0
+    counter_rejected_share: float = 0.6
+    seed: int = 1
+
+    @property
+    def fleet_size(self) -> int:
+        """Number of all gateways."""
+        return self.simulated_gateways + self.real_gateways
+
+    def endpoint_counts(self) -> tuple[int, ...]:
+        """Return the sizes of the endpoint list: about a ninth, a third and all of the endpoints."""
+        smaller = {max(MIN_ENDPOINTS, round(self.endpoints / divisor)) for divisor in (9, 3)}
+        return tuple(sorted(smaller | {self.endpoints}))
+
+    def estimated_memory_mb(self) -> float:
+        """Return about what all processes need with the largest endpoint list, in MiB."""
+        processes = self.simulated_gateways / GATEWAYS_PER_PROCESS + EMULATED_SYSTEM_PROCESSES
+        endpoints_mb = self.endpoints * ENDPOINT_MEMORY_MB
+        return (
+            PROCESS_MEMORY_MB * processes
+            + self.simulated_gateways * (SIMULATED_GATEWAY_MEMORY_MB + endpoints_mb)
+            + self.real_gateways * (REAL_GATEWAY_MEMORY_MB + endpoints_mb)
+        )
+
+
+def machine_memory_mb() -> float:
+    """Return the memory of this machine in MiB."""
+    return os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES") / BYTES_PER_MB
--- /dev/null
+++ b/testbed/simulated_gateways.py
@@ -0,0 +1,244 @@
+"""Simulated gateways, many in one process.
+
+Each runs the gateway's own dispatcher, decisions, discovery watch and counter client. Only the sockets of
+clients and endpoints are simulated.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import bisect
+import functools
+import itertools
+import random
+import time
+
+from api_gateway.configuration import Configuration
+from api_gateway.model.actions import StartAttempt
+from api_gateway.network.dispatcher import Dispatcher, InboundRequest
+from testbed import gateway_configuration
+from testbed.latency import LatencyRecorder
+from testbed.quota_accounting import ForwardedRequest
+from testbed.simulated_pool import SimulatedConnectionPool, SimulatedEndpoints
+
+REQUEST_HEAD = b"GET /api/0 HTTP/1.1\r\n"
+# Most tenants request a part of their quota, a few far more than it.
+TENANT_WEIGHTS = (1, 1, 2, 2, 3, 4, 20)
+MIN_SLEEP_S = 0.0005  # shorter delays between arrivals are not worth a timer
+ARRIVALS_PER_YIELD = 64  # so that a late generator still lets the loop read responses
+LAST_RESPONSES_S = 0.5  # how long to wait for responses after the load
+
+
+class SimulatedClient:
+    """A client that waits for one response."""
+
+    __slots__ = ("_fleet", "due_at")
+
+    def __init__(self, fleet: SimulatedFleet, due_at: float) -> None:
+        """Initialize the client.
+
+        Args:
+            fleet: Counts the response.
+            due_at: Time at which the request was due, in seconds by `time.monotonic`.
+        """
+        self._fleet, self.due_at = fleet, due_at
+
+    def respond(
+        self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_ms: float = 0.0
+    ) -> None:
+        """Count the response."""
+        self._fleet.response_received(self, status)
+
+    def has_disconnected(self) -> bool:
+        """Return False: the client never disconnects."""
+        return False
+
+
+class RecordingDispatcher(Dispatcher):
+    """A dispatcher over simulated endpoints that records the first attempt of each request."""
+
+    def __init__(
+        self,
+        config: Configuration,
+        loop: asyncio.AbstractEventLoop,
+        endpoints: SimulatedEndpoints,
+        forwarded: list[ForwardedRequest],
+    ) -> None:
+        """Initialize the dispatcher.
+
+        Args:
+            config: Configuration of the gateway.
+            loop: The event loop.
+            endpoints: What attempts are sent to.
+            forwarded: Gets each first attempt.
+        """
+        super().__init__(config, loop, functools.partial(SimulatedConnectionPool, endpoints))
+        self._forwarded = forwarded
+
+    def _send(self, act: StartAttempt) -> None:
+        request = self._requests.get(act.request_id)
+        if request is not None and not request.attempts:
+            self._forwarded.append(
+                ForwardedRequest(time.time(), int(request.order.tenant, 16), request.order.units)
+            )
+        super()._send(act)
+
+    def open_connections(self) -> int:
+        """Return the number of open connections to endpoints."""
+        return self._hosts.connections()
+
+    def connects(self) -> int:
+        """Return the number of connections opened so far."""
+        return self._hosts.connects
+
+    def generation(self) -> int:
+        """Return the generation of the known endpoint list, 0 without a list."""
+        return self._discovery._generation or 0
+
+
+class SimulatedFleet:
+    """All simulated gateways of one process, and their load.
+
+    Attributes:
+        endpoints: The simulated endpoints.
+        dispatchers: One for each gateway.
+        forwarded: First attempts of all gateways.
+        requested_units: Units requested by each tenant.
+        added_latency: Latency beyond the endpoint's service time.
+        requests_sent: Requests so far.
+        requests_served: Responses with status 200 so far.
+        bypass_gateways: Whether to respond to each request at once, to measure the load generation alone.
+    """
+
+    def __init__(
+        self,
+        configurations: list[Configuration],
+        *,
+        tenants: int,
+        requests_per_s: float,
+        traffic_share_shape: float,
+        seed: int,
+    ) -> None:
+        """Initialize the gateways.
+
+        Args:
+            configurations: One for each gateway.
+            tenants: Number of tenants that requests belong to.
+            requests_per_s: Mean requests a second to each gateway.
+            traffic_share_shape: Shape of the gamma distribution of the gateways' shares of the traffic.
+            seed: Seed of all random draws.
+        """
+        loop = asyncio.get_running_loop()
+        self.endpoints = SimulatedEndpoints(seed)
+        self.forwarded: list[ForwardedRequest] = []
+        self.dispatchers = [
+            RecordingDispatcher(configuration, loop, self.endpoints, self.forwarded)
+            for configuration in configurations
+        ]
+        self.requested_units: dict[int, float] = {}
+        self.added_latency = LatencyRecorder()
+        self.requests_sent = 0
+        self.requests_served = 0
+        self.bypass_gateways = False
+        self._fleet_size = configurations[0].settings.fleet_size
+        self._requests_per_s = requests_per_s * len(configurations)
+        self._rng = random.Random(seed)
+        shares = [self._rng.gammavariate(traffic_share_shape, 1.0) for _ in configurations]
+        self._cumulative_shares = list(itertools.accumulate(share / sum(shares) for share in shares))
+        self._cumulative_tenant_weights = list(
+            itertools.accumulate(self._rng.choice(TENANT_WEIGHTS) for _ in range(tenants))
+        )
+
+    def start(self) -> None:
+        """Start all gateways."""
+        for dispatcher in self.dispatchers:
+            dispatcher.start()
+
+    def stop(self) -> None:
+        """Stop all gateways."""
+        for dispatcher in self.dispatchers:
+            dispatcher.stop()
+
+    def count_ready(self) -> int:
+        """Return the number of gateways that are ready."""
+        return sum(dispatcher.is_ready() for dispatcher in self.dispatchers)
+
+    def count_outdated(self, generation: int) -> int:
+        """Return the number of gateways that know no endpoint list of this generation or a later one."""
+        return sum(dispatcher.generation() < generation for dispatcher in self.dispatchers)
+
+    def connects(self) -> int:
+        """Return the number of connections that all gateways have opened."""
+        return sum(dispatcher.connects() for dispatcher in self.dispatchers)
+
+    def open_connections(self) -> int:
+        """Return the number of open connections of all gateways."""
+        return sum(dispatcher.open_connections() for dispatcher in self.dispatchers)
+
+    def reset_records(self) -> None:
+        """Clear what is recorded of each request; the counts of requests go on."""
+        self.forwarded.clear()
+        self.requested_units.clear()
+        self.endpoints.attempts.clear()
+
+    async def run_load(self, seconds: float) -> None:
+        """Generate open-loop load, then wait for the last responses.
+
+        Arrivals do not wait for responses. The latency of a late request counts from when it was due.
+
+        Args:
+            seconds: Duration of the load.
+        """
+        due_at = time.monotonic()
+        end_at = due_at + seconds
+        while due_at < end_at:
+            due_at += self._rng.expovariate(self._requests_per_s)
+            delay_s = due_at - time.monotonic()
+            if delay_s > MIN_SLEEP_S:
+                await asyncio.sleep(delay_s)
+            elif self.requests_sent % ARRIVALS_PER_YIELD == 0:
+                await asyncio.sleep(0)
+            self._send_request(due_at)
+        await asyncio.sleep(LAST_RESPONSES_S)
+
+    def response_received(self, client: SimulatedClient, status: int) -> None:
+        """Count one response."""
+        if status == 200 and not self.bypass_gateways:
+            self.requests_served += 1
+            self.added_latency.record(time.monotonic() - client.due_at - self.endpoints.current_service_s)
+
+    def _send_request(self, due_at: float) -> None:
+        self.requests_sent += 1
+        dispatcher = self.dispatchers[self._draw_gateway()]
+        tenant = self._draw_tenant()
+        client = SimulatedClient(self, due_at)
+        if self.bypass_gateways:
+            client.respond(200)
+            return
+        units = float(self._rng.choice(gateway_configuration.REQUEST_UNITS))
+        self.requested_units[tenant] = self.requested_units.get(tenant, 0.0) + units
+        dispatcher.submit(client, self._inbound_request(tenant, units))
+
+    def _draw_gateway(self) -> int:
+        index = bisect.bisect(self._cumulative_shares, self._rng.random())
+        return min(index, len(self.dispatchers) - 1)  # the last sum may be below 1 by rounding
+
+    def _draw_tenant(self) -> int:
+        weights = self._cumulative_tenant_weights
+        return bisect.bisect(weights, self._rng.random() * weights[-1])
+
+    def _inbound_request(self, tenant: int, units: float) -> InboundRequest:
+        return InboundRequest(
+            wire_id=b"%x" % self.requests_sent,
+            class_name=gateway_configuration.class_of_request(self.requests_sent),
+            plan_name=gateway_configuration.PLAN_NAME,
+            tenant=f"{tenant:016x}",
+            time_left_ms=gateway_configuration.REQUEST_DEADLINE_MS,
+            units=units,
+            gateway_count=self._fleet_size,
+            first_gateway=0,
+            is_retry=False,
+            read_at=time.monotonic(),
+            head=REQUEST_HEAD,
+            body=b"",
+        )
--- /dev/null
+++ b/testbed/simulated_pool.py
@@ -0,0 +1,138 @@
+"""A connection pool without sockets, for simulated gateways.
+
+It follows the rules of `api_gateway.network.upstream.pool`, and computes what that pool would do to
+endpoints: new connections, idle connections and service times.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections import Counter, deque
+from collections.abc import Callable
+
+from api_gateway.model.results import AttemptResult
+from api_gateway.network.response_parser import Response
+from api_gateway.network.upstream.pool import Attempt
+from testbed.endpoint_server import MEAN_SERVICE_MS, SERVICE_VARIATION, ServiceTimes
+
+CONNECT_S = 0.002  # a round trip across zones, and the endpoint's work for it
+OK_RESPONSE = Response(200, {}, b"", True)
+
+
+class SimulatedEndpoints:
+    """The endpoints behind all simulated gateways of a process.
+
+    Attributes:
+        service_times: Distribution of the service times.
+        attempts: Attempts that reached each endpoint, by endpoint name.
+        current_service_s: Service time of the response that is being delivered, in seconds; 0 outside of a
+            delivery.
+    """
+
+    def __init__(self, seed: int) -> None:
+        self.service_times = ServiceTimes(MEAN_SERVICE_MS, SERVICE_VARIATION, seed)
+        self.attempts: Counter[str] = Counter()
+        self.current_service_s = 0.0
+
+
+class SimulatedConnectionPool:
+    """Stands in for `ConnectionPool`; bound to its endpoints, it has the same constructor.
+
+    Attributes:
+        connects: Connections opened so far.
+    """
+
+    def __init__(
+        self,
+        endpoints: SimulatedEndpoints,
+        loop: asyncio.AbstractEventLoop,
+        most: int,
+        dial_ms: float,
+        idle_ms: float,
+        ended: Callable[[Attempt, AttemptResult, Response | None], None],
+        wanted: Callable[[Attempt], bool],
+    ) -> None:
+        self._endpoints = endpoints
+        self._loop, self._ended = loop, ended
+        self._idle_timeout_s = idle_ms / 2000  # half of the time after which endpoints close connections
+        self._accepts_requests: dict[str, bool] = {}  # by endpoint; draining ones accept none
+        self._idle: dict[str, deque[float]] = {}  # by endpoint: when each connection became idle
+        self._in_flight = 0
+        self.connects = 0
+
+    def start(self) -> None:
+        """Do nothing: there is no socket to open."""
+
+    def stop(self) -> None:
+        """Do nothing: there is no socket to close."""
+
+    def update(
+        self, addresses: dict[str, tuple[str, int]], gone: set[str], leaving: set[str], born: dict[str, float]
+    ) -> None:
+        """Apply changes of the endpoint list.
+
+        Args:
+            addresses: New and changed endpoints.
+            gone: Endpoints that are removed.
+            leaving: Endpoints that drain.
+            born: Unix times of the endpoints' starts, in milliseconds.
+        """
+        for name in gone:
+            self._accepts_requests.pop(name, None)
+            self._idle.pop(name, None)
+        for name in addresses:
+            self._accepts_requests[name] = name not in leaving
+
+    def recall(self) -> None:
+        """Do nothing: no attempt waits for a connection."""
+
+    def names(self) -> set[str]:
+        """Return the names of the known endpoints."""
+        return set(self._accepts_requests)
+
+    def withdraw(self, attempt: Attempt) -> None:
+        """Do nothing: each request is fully sent at once."""
+
+    def cancel(self, attempt: Attempt) -> None:
+        """End an attempt without a response."""
+        self._end(attempt, AttemptResult.CANCELLED, None)
+
+    def connections(self) -> int:
+        """Return the number of open connections, idle or with a request in flight."""
+        return self._in_flight + sum(len(self._idle_connections(name)) for name in list(self._idle))
+
+    def send(self, attempt: Attempt) -> None:
+        """Send an attempt on an idle connection or a new one."""
+        if not self._accepts_requests.get(attempt.endpoint):
+            self._loop.call_soon(self._end, attempt, AttemptResult.CONNECT_FAILED, None)
+            return
+        idle = self._idle_connections(attempt.endpoint)
+        service_s = round(self._endpoints.service_times.draw(), 3)  # timers of the loop count milliseconds
+        connect_s = 0.0
+        if idle:
+            idle.pop()
+        else:
+            self.connects += 1
+            connect_s = CONNECT_S
+        self._in_flight += 1
+        self._endpoints.attempts[attempt.endpoint] += 1
+        self._loop.call_later(service_s + connect_s, self._respond, attempt, service_s)
+
+    def _idle_connections(self, name: str) -> deque[float]:
+        idle = self._idle.setdefault(name, deque())
+        while idle and idle[0] < self._loop.time() - self._idle_timeout_s:
+            idle.popleft()
+        return idle
+
+    def _respond(self, attempt: Attempt, service_s: float) -> None:
+        self._in_flight -= 1
+        if attempt.endpoint in self._accepts_requests:
+            self._idle.setdefault(attempt.endpoint, deque()).append(self._loop.time())
+        self._endpoints.current_service_s = service_s
+        self._end(attempt, AttemptResult.OK, OK_RESPONSE)
+        self._endpoints.current_service_s = 0.0
+
+    def _end(self, attempt: Attempt, result: AttemptResult, reply: Response | None) -> None:
+        if not attempt.done:
+            attempt.done = True
+            self._ended(attempt, result, reply)
