--- a/tests/support/endpoint_simulation.py
+++ b/tests/support/endpoint_simulation.py
@@ -1,11 +1,13 @@
-"""A play of gateways over hosts that queue: what of each class is served, refused and late.
+"""Simulation of gateways before endpoints that queue: what is served, rejected and failed of each class.
 
-Hosts have cores that take one request each, first come first served; with `cores=None` nothing ever waits.
+Each endpoint has cores that process one request each, in the order of arrival. Without a number of cores no
+request ever queues.
 """
 
 from __future__ import annotations
 
 import dataclasses
+import enum
 import heapq
 import math
 import random
@@ -19,149 +21,230 @@
 from support.event_simulation import EventSimulation
 from support.gateway_driver import OPEN, settings
 
-SIGMA = 0.7  # of the logarithm of lognormal work
+LOGNORMAL_SIGMA = 0.7
+
+
+class Distribution(enum.Enum):
+    """Distribution of the service time."""
+
+    LOGNORMAL = "lognormal"
+    EXPONENTIAL = "exponential"
 
 
 @dataclasses.dataclass(frozen=True)
 class Load:
-    """Requests of one class: mean work in ms, and how many a second each gateway is asked."""
-
-    cls: RequestClass
-    work_ms: float
-    rate: float
-    shape: str = "lognormal"  # or "exponential", "fixed"
+    """Requests of one class.
+
+    Attributes:
+        request_class: The class.
+        mean_service_ms: Mean service time in milliseconds.
+        requests_per_s: Requests a second to each gateway.
+        distribution: Distribution of the service time.
+        plan: Plan of all requests.
+    """
+
+    request_class: RequestClass
+    mean_service_ms: float
+    requests_per_s: float
+    distribution: Distribution = Distribution.LOGNORMAL
     plan: Plan = OPEN
 
-    def draw(self, rng: random.Random) -> float:
-        """The work of one request, in ms."""
-        if self.shape == "exponential":
-            return rng.expovariate(1 / self.work_ms)
-        if self.shape == "fixed":
-            return self.work_ms
-        return rng.lognormvariate(math.log(self.work_ms) - SIGMA**2 / 2, SIGMA)
+    def draw_service_ms(self, rng: random.Random) -> float:
+        """Return the service time of one request in milliseconds."""
+        if self.distribution is Distribution.EXPONENTIAL:
+            return rng.expovariate(1 / self.mean_service_ms)
+        mu = math.log(self.mean_service_ms) - LOGNORMAL_SIGMA**2 / 2
+        return rng.lognormvariate(mu, LOGNORMAL_SIGMA)
 
 
 @dataclasses.dataclass
-class Tally:
-    """What became of the requests of one class."""
-
-    asked: int = 0
-    served: int = 0
-    refused: int = 0
+class ClassCounts:
+    """Counts of the requests of one class.
+
+    Attributes:
+        received: All requests.
+        served_in_time: Requests with a response within the latency objective.
+        rejected: Requests rejected without an attempt.
+        failed: Requests whose attempts failed.
+    """
+
+    received: int = 0
+    served_in_time: int = 0
+    rejected: int = 0
     failed: int = 0
 
     @property
-    def turned_away(self) -> float:
-        """Share of the requests that no host was asked to do."""
-        return self.refused / max(self.asked, 1)
+    def rejected_share(self) -> float:
+        """Part of the requests that were rejected."""
+        return self.rejected / max(self.received, 1)
 
     @property
-    def share_served(self) -> float:
-        """Share of the requests that were answered within their aim."""
-        return self.served / max(self.asked, 1)
+    def served_share(self) -> float:
+        """Part of the requests that were served in time."""
+        return self.served_in_time / max(self.received, 1)
 
 
 @dataclasses.dataclass
-class Asked:
-    """A request that has no final answer yet."""
+class PendingRequest:
+    """A request without a response.
+
+    Attributes:
+        load: What the request belongs to.
+        received_at_ms: Simulated time of its arrival, in milliseconds.
+        service_ms: Its service time, in milliseconds.
+        attempts: Number of attempts so far.
+    """
 
     load: Load
-    at: float
-    work: float
+    received_at_ms: float
+    service_ms: float
     attempts: int = 0
 
 
 class EndpointSimulation(EventSimulation):
-    """Gateways and hosts on one clock, which `times` stretches but for the gateways' own spacing."""
+    """Gateways before endpoints that queue.
+
+    Attributes:
+        counts: Counts of the requests by class name.
+    """
 
     def __init__(
         self,
         loads: list[Load],
         *,
         gateways: int = 1,
-        hosts: int = 60,
+        endpoints: int = 60,
         cores: int | None = None,
         seed: int = 1,
-        times: float = 1.0,
-        fleet_size: int | None = None,
     ) -> None:
+        """Start all gateways with the full endpoint list.
+
+        Args:
+            loads: One for each class.
+            gateways: Number of gateways.
+            endpoints: Number of endpoints.
+            cores: Number of cores of each endpoint; None for as many as there are requests.
+            seed: Seed of all random draws.
+        """
         super().__init__(random.Random(seed), 1e6)
-        self.loads, self.cores, self.times = loads, cores, times
-        self.free = {f"h{i}": [0.0] * (cores or 0) for i in range(hosts)}
-        self.tallies = {load.cls.name: Tally() for load in loads}
-        self.open: dict[str, Asked] = {}
-        self.sent: list[tuple[float, float]] = []  # when, and how much work
-        plans = {load.plan.name: load.plan for load in loads}
-        set_up = settings(
-            classes=tuple(load.cls for load in loads),
+        self.counts = {load.request_class.name: ClassCounts() for load in loads}
+        self._loads, self._cores = loads, cores
+        names = [f"h{i}" for i in range(endpoints)]
+        # By endpoint: a heap of the times at which its cores become free.
+        self._cores_free_at_ms = {name: [0.0] * (cores or 0) for name in names}
+        self._pending: dict[str, PendingRequest] = {}
+        self._sent: list[tuple[float, float]] = []  # time and service time of each attempt, in milliseconds
+        self._gateways = self._create_gateways(gateways, seed)
+        servers = tuple(Endpoint(name, "ab"[i % 2], i % 2) for i, name in enumerate(names))
+        for index in range(gateways):
+            self._deliver(index, EndpointUpdate(UpdateKind.CACHED, servers))
+
+    def run(self, seconds: float, load_factor: float = 1.0) -> EndpointSimulation:
+        """Run the open-loop load.
+
+        Args:
+            seconds: Duration in simulated seconds.
+            load_factor: Multiple of the loads' rates.
+
+        Returns:
+            The simulation itself.
+        """
+        weights = [load.requests_per_s for load in self._loads]
+        requests_per_ms = load_factor * sum(weights) * len(self._gateways) / 1000
+        self._run_open_loop(
+            seconds,
+            requests_per_ms,
+            lambda: self._send_request(self.rng.choices(self._loads, weights)[0]),
+        )
+        return self
+
+    def reset_counts(self) -> None:
+        """Set all counts to zero."""
+        self.counts = {name: ClassCounts() for name in self.counts}
+        self._sent.clear()
+
+    def offered_utilization(self, since_ms: float) -> float:
+        """Return the service time sent to each core for each unit of time.
+
+        Args:
+            since_ms: Start of the span that ends now, in milliseconds after the simulation's start.
+        """
+        span_ms = self.now_ms - self.started_at_ms - since_ms
+        service_ms = sum(
+            service_ms for at_ms, service_ms in self._sent if at_ms - self.started_at_ms >= since_ms
+        )
+        return service_ms / span_ms / (len(self._cores_free_at_ms) * (self._cores or 1))
+
+    def _create_gateways(self, count: int, seed: int) -> list[Gateway]:
+        plans = {load.plan.name: load.plan for load in self._loads}
+        common_settings = settings(
+            classes=tuple(load.request_class for load in self._loads),
             plans=tuple(plans.values()),
-            fleet_size=fleet_size or gateways,
+            fleet_size=count,
             counter_enabled=False,
         )
-        self.gateways = [
-            Gateway(dataclasses.replace(set_up, gateway_index=i), seed * 1000 + i) for i in range(gateways)
+        return [
+            Gateway(dataclasses.replace(common_settings, gateway_index=index), seed * 1000 + index)
+            for index in range(count)
         ]
-        servers = tuple(Endpoint(name, "ab"[i % 2], i % 2) for i, name in enumerate(self.free))
-        for i in range(gateways):
-            self._give(i, EndpointUpdate(UpdateKind.CACHED, servers))
-
-    def run(self, seconds: float, pace: float = 1.0) -> EndpointSimulation:
-        """Open-loop load at `pace` times the loads' rates; then all tallies hold what it came to."""
-        weights = [load.rate for load in self.loads]
-        total = pace * sum(weights) * len(self.gateways) / 1000
-        self._arrivals(seconds, total, lambda: self._ask(self.rng.choices(self.loads, weights)[0]))
-        return self
 
-    def forget(self) -> None:
-        """Begin the tallies anew."""
-        self.tallies = {name: Tally() for name in self.tallies}
-        self.sent.clear()
-
-    def offered_work(self, since_ms: float) -> float:
-        """Work sent to the hosts since a moment of the play, in ms for each ms and core."""
-        span = self.now - self.born - since_ms
-        work = sum(w for at, w in self.sent if at - self.born >= since_ms)
-        return work / span / (len(self.free) * (self.cores or 1))
-
-    def _ask(self, load: Load) -> None:
-        self.serial += 1
-        rid = f"r{self.serial}"
-        self.open[rid] = Asked(load, self.now, load.draw(self.rng))
-        self.tallies[load.cls.name].asked += 1
-        i = self.rng.randrange(len(self.gateways))
-        self._give(i, RequestReceived(rid, load.cls.name, load.plan.name, "c", load.cls.deadline_ms))
-
-    def _give(self, i: int, event: Event) -> None:
+    def _send_request(self, load: Load) -> None:
+        request_id = f"r{self._next_serial()}"
+        request_class = load.request_class
+        self._pending[request_id] = PendingRequest(load, self.now_ms, load.draw_service_ms(self.rng))
+        self.counts[request_class.name].received += 1
+        index = self.rng.randrange(len(self._gateways))
+        self._deliver(
+            index,
+            RequestReceived(request_id, request_class.name, load.plan.name, "c", request_class.deadline_ms),
+        )
+
+    def _deliver(self, gateway_index: int, event: Event) -> None:
         if isinstance(event, AttemptEnded) and event.result == AttemptResult.OK:
-            asked = self.open.pop(event.request_id)
-            self.tallies[asked.load.cls.name].served += (
-                self.now - asked.at <= asked.load.cls.latency_objective_ms
-            )
-        for act in self.gateways[i].handle(self.now, event):
-            match act:
+            self._count_response(event.request_id)
+        for action in self._gateways[gateway_index].handle(self.now_ms, event):
+            match action:
                 case StartAttempt():
-                    self._send(i, act)
+                    self._start_attempt(gateway_index, action)
                 case StartTimer():
-                    self._later(act.delay_ms, i, TimerFired(act.name))
+                    self._schedule(action.delay_ms, gateway_index, TimerFired(action.name))
                 case RejectRequest():
-                    self.tallies[self.open.pop(act.request_id).load.cls.name].refused += 1
+                    self._end_request(action.request_id).rejected += 1
                 case FailRequest():
-                    self.tallies[self.open.pop(act.request_id).load.cls.name].failed += 1
-
-    def _send(self, i: int, act: StartAttempt) -> None:
-        asked = self.open[act.request_id]
-        self.sent.append((self.now, asked.work))
-        took = asked.work
-        if self.cores:
-            free = self.free[act.endpoint]
-            start = max(self.now, heapq.heappop(free))
-            heapq.heappush(free, start + asked.work)
-            took = start + asked.work - self.now
+                    self._end_request(action.request_id).failed += 1
+
+    def _count_response(self, request_id: str) -> None:
+        request = self._pending[request_id]
+        latency_ms = self.now_ms - request.received_at_ms
+        in_time = latency_ms <= request.load.request_class.latency_objective_ms
+        self._end_request(request_id).served_in_time += in_time
+
+    def _end_request(self, request_id: str) -> ClassCounts:
+        return self.counts[self._pending.pop(request_id).load.request_class.name]
+
+    def _start_attempt(self, gateway_index: int, action: StartAttempt) -> None:
+        request = self._pending[action.request_id]
+        self._sent.append((self.now_ms, request.service_ms))
+        latency_ms = self._latency_ms(action.endpoint, request.service_ms)
         result = AttemptResult.OK
-        if took > act.timeout_ms:
-            result, took = AttemptResult.TIMED_OUT, act.timeout_ms
+        if latency_ms > action.timeout_ms:
+            result, latency_ms = AttemptResult.TIMED_OUT, action.timeout_ms
         outcome = AttemptEnded(
-            act.request_id, asked.attempts, act.endpoint, result, took, result == AttemptResult.OK
+            action.request_id,
+            request.attempts,
+            action.endpoint,
+            result,
+            latency_ms,
+            result == AttemptResult.OK,
         )
-        asked.attempts += 1
-        self._later(took, i, outcome)
+        request.attempts += 1
+        self._schedule(latency_ms, gateway_index, outcome)
+
+    def _latency_ms(self, endpoint: str, service_ms: float) -> float:
+        """Time until the endpoint has processed a request that is sent now, with its time in the queue."""
+        if not self._cores:
+            return service_ms
+        cores_free_at_ms = self._cores_free_at_ms[endpoint]
+        start_at_ms = max(self.now_ms, heapq.heappop(cores_free_at_ms))
+        heapq.heappush(cores_free_at_ms, start_at_ms + service_ms)
+        return start_at_ms + service_ms - self.now_ms
--- a/tests/support/event_simulation.py
+++ b/tests/support/event_simulation.py
@@ -1,44 +1,91 @@
-"""One clock, one queue of events and open-loop arrivals for plays of several gateways."""
+"""Discrete-event simulation of several gateways: one clock, one event queue and open-loop arrivals."""
 
 from __future__ import annotations
 
+import abc
 import heapq
 import math
 import random
 from collections.abc import Callable
+from typing import NamedTuple
 
 from api_gateway.model.events import Event
 
 
-class EventSimulation:
-    """What plays share; each gives events to its gateways by `_give`. Times in ms."""
+class ScheduledEvent(NamedTuple):
+    """An event in the queue; those due at the same time keep the order of their serial numbers."""
+
+    due_at_ms: float
+    serial: int
+    gateway_index: int
+    event: Event
+
+
+class EventSimulation(abc.ABC):
+    """Base of the simulations; a subclass delivers events to its gateways.
+
+    Attributes:
+        rng: Source of all random draws.
+        now_ms: Simulated time in milliseconds.
+        started_at_ms: Simulated time at the start, in milliseconds.
+        serial: Number of scheduled events and requests so far.
+    """
 
     def __init__(self, rng: random.Random, now_ms: float) -> None:
+        """Initialize the clock and an empty queue.
+
+        Args:
+            rng: Source of all random draws.
+            now_ms: Simulated time of the start, in milliseconds.
+        """
         self.rng = rng
-        self.now = self.born = now_ms
-        self.queue: list[tuple[float, int, int, Event]] = []
+        self.now_ms = self.started_at_ms = now_ms
         self.serial = 0
+        self._queue: list[ScheduledEvent] = []
 
-    def _give(self, i: int, event: Event) -> None:
-        raise NotImplementedError
+    @abc.abstractmethod
+    def _deliver(self, gateway_index: int, event: Event) -> None:
+        """Hand an event to a gateway at the current time, and carry out its actions."""
 
-    def _later(self, delay_ms: float, i: int, event: Event) -> None:
+    def _next_serial(self) -> int:
         self.serial += 1
-        heapq.heappush(self.queue, (self.now + delay_ms, self.serial, i, event))
+        return self.serial
 
-    def _arrivals(self, seconds: float, per_ms: float, ask: Callable[[], None]) -> None:
-        """Ask `per_ms` times a ms in the mean, in chance moments that do not wait for answers."""
-        end = self.now + 1000 * seconds
-        at = self.now + self.rng.expovariate(per_ms)
+    def _schedule(self, delay_ms: float, gateway_index: int, event: Event) -> None:
+        """Deliver an event after a delay in milliseconds."""
+        due_at_ms = self.now_ms + delay_ms
+        heapq.heappush(self._queue, ScheduledEvent(due_at_ms, self._next_serial(), gateway_index, event))
+
+    def _discard_events(self, gateway_index: int) -> None:
+        """Remove all scheduled events of one gateway."""
+        self._queue = [entry for entry in self._queue if entry.gateway_index != gateway_index]
+        heapq.heapify(self._queue)
+
+    def _run_open_loop(
+        self, seconds: float, requests_per_ms: float, send_request: Callable[[], None]
+    ) -> None:
+        """Deliver events and send requests, which do not wait for responses.
+
+        Args:
+            seconds: Duration in simulated seconds.
+            requests_per_ms: Mean rate of the Poisson arrivals, in requests a millisecond.
+            send_request: Sends one request at the current time.
+        """
+        end_at_ms = self.now_ms + 1000 * seconds
+        arrival_at_ms = self.now_ms + self.rng.expovariate(requests_per_ms)
         while True:
-            due = self.queue[0][0] if self.queue else math.inf
-            if min(at, due) > end:
+            event_at_ms = self._queue[0].due_at_ms if self._queue else math.inf
+            if min(arrival_at_ms, event_at_ms) > end_at_ms:
                 break
-            if due <= at:
-                self.now, _, i, event = heapq.heappop(self.queue)
-                self._give(i, event)
+            if event_at_ms <= arrival_at_ms:
+                self._deliver_next_event()
             else:
-                self.now = at
-                ask()
-                at += self.rng.expovariate(per_ms)
-        self.now = end
+                self.now_ms = arrival_at_ms
+                send_request()
+                arrival_at_ms += self.rng.expovariate(requests_per_ms)
+        self.now_ms = end_at_ms
+
+    def _deliver_next_event(self) -> None:
+        entry = heapq.heappop(self._queue)
+        self.now_ms = entry.due_at_ms
+        self._deliver(entry.gateway_index, entry.event)
--- a/tests/support/fleet_simulation.py
+++ b/tests/support/fleet_simulation.py
@@ -1,14 +1,14 @@
-"""A play of many instances of the module over hosts, in one process: what the whole fleet sends to each host.
+"""Simulation of a whole fleet of gateways: what all of them together send to each endpoint.
 
-Latency does not depend on load, so nothing but the module's own budget spares a host.
+The latency of an endpoint does not depend on its load, so only the gateways' own limits protect it.
 """
 
 from __future__ import annotations
 
 import dataclasses
-import heapq
 import random
 from bisect import bisect_left
+from collections import defaultdict
 
 from api_gateway.decisions.gateway import Gateway
 from api_gateway.model.actions import StartAttempt, StartTimer
@@ -16,158 +16,170 @@
 from api_gateway.model.events import AttemptEnded, EndpointUpdate, Event, RequestReceived, TimerFired
 from api_gateway.model.results import AttemptResult
 from api_gateway.model.settings import Idempotency
+from support.event_simulation import EventSimulation
 from support.gateway_driver import OPEN, SAFE, settings
 
-CAPACITY = 25.0  # calls a second that a warm host does
-
-
-@dataclasses.dataclass
-class FleetSimulation:
-    """`rate`: calls a second offered for each host; times in seconds, but for the module's."""
-
-    gateways: int = 30
-    hosts: int = 50
-    rate: float = 15.0
-    multiple: float = 1.2
-    slow_start_min_weight: float = 0.2
-    cold_s: float = 10.0
-    tip_s: float = 2.0
-    skew: float = 0.0  # 0: even traffic; else the shape of a gateway's share, the smaller the more uneven
-    seed: int = 1
-    idle_s: float = 30.0
-    duration_ms: float = 60.0
-
-    def __post_init__(self) -> None:
-        self.rng = random.Random(self.seed)
-        self.now = 1e9
-        self.set_up = settings(
+CAPACITY_PER_S = 25.0  # requests a second that a warm endpoint serves
+SLOW_START_MIN_WEIGHT = 0.2
+OVERLOAD_WINDOW_S = 2.0
+IDLE_CONNECTION_TIMEOUT_S = 30.0
+MEAN_LATENCY_MS = 60.0
+INTEGRATION_STEPS = 20  # over one overload window
+
+
+class FleetSimulation(EventSimulation):
+    """Gateways that share endpoints.
+
+    Attributes:
+        requests_per_s: Requests a second for each endpoint.
+        endpoints: Current endpoints by name.
+        sent_at_ms: Simulated times of the attempts to each endpoint, in milliseconds.
+    """
+
+    def __init__(
+        self,
+        *,
+        gateways: int = 30,
+        endpoints: int = 50,
+        requests_per_s: float = 15.0,
+        overload_multiple: float = 1.2,
+        slow_start_s: float = 10.0,
+        traffic_share_shape: float = 0.0,
+        seed: int = 1,
+    ) -> None:
+        """Start all gateways with the full endpoint list.
+
+        Args:
+            gateways: Number of gateways.
+            endpoints: Number of endpoints.
+            requests_per_s: Requests a second for each endpoint.
+            overload_multiple: Multiple of its capacity beyond which an endpoint is overloaded.
+            slow_start_s: Duration of the slow start, in seconds.
+            traffic_share_shape: Shape of the gamma distribution of the gateways' shares of the traffic; the
+                smaller, the less even. 0 for equal shares.
+            seed: Seed of all random draws.
+        """
+        super().__init__(random.Random(seed), 1e9)
+        self.requests_per_s = requests_per_s
+        self.sent_at_ms: defaultdict[str, list[float]] = defaultdict(list)
+        self._seed = seed
+        self._overload_multiple, self._slow_start_s = overload_multiple, slow_start_s
+        self._settings = settings(
             classes=(dataclasses.replace(SAFE, idempotency=Idempotency.IDEMPOTENT),),
             plans=(OPEN,),
-            fleet_size=self.gateways,
-            slow_start_min_weight=self.slow_start_min_weight,
-            slow_start_ms=1000 * self.cold_s,
-            overload_multiple=self.multiple,
-            overload_window_ms=1000 * self.tip_s,
-            idle_connection_timeout_ms=1000 * self.idle_s,
+            fleet_size=gateways,
+            slow_start_min_weight=SLOW_START_MIN_WEIGHT,
+            slow_start_ms=1000 * slow_start_s,
+            overload_multiple=overload_multiple,
+            overload_window_ms=1000 * OVERLOAD_WINDOW_S,
+            idle_connection_timeout_ms=1000 * IDLE_CONNECTION_TIMEOUT_S,
             counter_enabled=False,
         )
-        self.endpoints = {f"h{i}": self._server(f"h{i}", 0.0) for i in range(self.hosts)}
-        self.fleet: list[Gateway] = []
-        self.queue: list[tuple[float, int, int, Event]] = []
-        self.serial = 0
-        self.sent: dict[str, list[float]] = {}  # by host: when each send left
-        self.asked = self.dials = 0
-        self.used: dict[tuple[int, str], float] = {}
-        self.share = [1.0] * self.gateways
-        if self.skew:
-            self.share = [self.rng.gammavariate(self.skew, 1.0) for _ in range(self.gateways)]
-        self.heirs = self.hosts
-        for i in range(self.gateways):
-            self.fleet.append(None)
-            self.restart(i)
-
-    @staticmethod
-    def _server(name: str, born: float) -> Endpoint:
-        return Endpoint(name, "ab"[hash_of(name) % 2], 0, EndpointStatus.UP, 1.0, born)
-
-    def restart(self, i: int) -> None:
-        """A gateway that begins from nothing."""
-        me = dataclasses.replace(self.set_up, gateway_index=i)
-        self.fleet[i] = Gateway(me, self.seed * 1000 + i + self.serial)
-        self.queue = [entry for entry in self.queue if entry[2] != i]
-        heapq.heapify(self.queue)
-        self._give(i, EndpointUpdate(UpdateKind.CACHED, tuple(self.endpoints.values())))
-
-    def replace(self, names: list[str]) -> list[str]:
-        """Hosts go, and as many start cold under new ids; all gateways are told at once."""
-        born = []
+        names = [f"h{i}" for i in range(endpoints)]
+        self.endpoints = {name: _endpoint(name, started_at_ms=0.0) for name in names}
+        self._endpoints_created = endpoints
+        self._traffic_shares = [1.0] * gateways
+        if traffic_share_shape:
+            self._traffic_shares = [self.rng.gammavariate(traffic_share_shape, 1.0) for _ in range(gateways)]
+        self._gateways: dict[int, Gateway] = {}
+        for index in range(gateways):
+            self.restart_gateway(index)
+
+    def restart_gateway(self, index: int) -> None:
+        """Replace a gateway by a new one that knows the full endpoint list."""
+        own_settings = dataclasses.replace(self._settings, gateway_index=index)
+        self._gateways[index] = Gateway(own_settings, self._seed * 1000 + index + self.serial)
+        self._discard_events(index)
+        self._deliver(index, EndpointUpdate(UpdateKind.CACHED, tuple(self.endpoints.values())))
+
+    def replace_endpoints(self, names: list[str]) -> list[str]:
+        """Remove endpoints and add as many new ones, known to all gateways at once.
+
+        Args:
+            names: Endpoints to remove.
+
+        Returns:
+            Names of the new endpoints.
+        """
+        added = []
         for name in names:
             del self.endpoints[name]
-            heir = f"h{self.heirs}"
-            self.heirs += 1
-            self.endpoints[heir] = self._server(heir, self.now)
-            born.append(heir)
-        news = tuple(Endpoint(n, status=EndpointStatus.REMOVED) for n in names) + tuple(
-            self.endpoints[n] for n in born
-        )
-        for i in range(self.gateways):
-            self._give(i, EndpointUpdate(UpdateKind.CHANGES, news))
-        return born
+            new_name = f"h{self._endpoints_created}"
+            self._endpoints_created += 1
+            self.endpoints[new_name] = _endpoint(new_name, self.now_ms)
+            added.append(new_name)
+        removals = [Endpoint(name, status=EndpointStatus.REMOVED) for name in names]
+        changes = tuple(removals + [self.endpoints[name] for name in added])
+        for index in self._gateways:
+            self._deliver(index, EndpointUpdate(UpdateKind.CHANGES, changes))
+        return added
 
     def run(self, seconds: float) -> None:
-        """Open-loop load: arrivals do not wait for answers."""
-        end = self.now + 1000 * seconds
-        total = self.rate * len(self.endpoints) / 1000
-        at = self.now + self.rng.expovariate(total)
-        while True:
-            due = self.queue[0][0] if self.queue else 1e18
-            if min(at, due) > end:
-                break
-            if due <= at:
-                self.now, _, i, event = heapq.heappop(self.queue)
-                self._give(i, event)
-            else:
-                self.now = at
-                self.asked += 1
-                self.serial += 1
-                i = self.rng.choices(range(self.gateways), self.share)[0]
-                self._give(i, RequestReceived(f"r{self.serial}", "read", "open", "c", 4000))
-                at += self.rng.expovariate(total)
-        self.now = end
-
-    def _give(self, i: int, event: Event) -> None:
-        for act in self.fleet[i].handle(self.now, event):
-            if isinstance(act, StartAttempt):
-                self.sent.setdefault(act.endpoint, []).append(self.now)
-                if self.now - self.used.get((i, act.endpoint), -1e12) > 500 * self.idle_s:
-                    self.dials += 1
-                self.used[i, act.endpoint] = self.now
-                took = self.duration_ms * self.rng.uniform(0.5, 1.5)
-                self._later(
-                    took, i, AttemptEnded(act.request_id, 0, act.endpoint, AttemptResult.OK, took, True)
-                )
-            elif isinstance(act, StartTimer):
-                self._later(act.delay_ms, i, TimerFired(act.name))
-
-    def _later(self, delay_ms: float, i: int, event: Event) -> None:
-        self.serial += 1
-        heapq.heappush(self.queue, (self.now + delay_ms, self.serial, i, event))
-
-    # What came of it
-
-    def budget(self, name: str, since: float) -> float:
-        """Calls that the settings allow a host in the span that begins at `since`."""
-        born, tip, steps = self.endpoints[name].started_at_ms, 1000 * self.tip_s, 20
-        total = 0.0
-        for step in range(steps):
-            age = (since + (step + 0.5) / steps * tip - born) / (1000 * self.cold_s)
-            total += min(self.slow_start_min_weight + (1 - self.slow_start_min_weight) * age, 1.0)
-        return self.multiple * CAPACITY * self.tip_s * total / steps
-
-    def fallen(self) -> list[str]:
-        """Hosts that got more than N + 2 x root of N + 2 calls in one span while they were cold."""
-        out = []
-        for name, server in self.endpoints.items():
-            sent = self.sent.get(name, []) if server.started_at_ms else []
-            for k, since in enumerate(sent):
-                if since + 1000 * self.tip_s >= server.started_at_ms + 1000 * self.cold_s:
-                    break  # a span that ends when it is warm
-                allowed = self.budget(name, since)
-                if bisect_left(sent, since + 1000 * self.tip_s) - k > allowed + 2 * allowed**0.5 + 2:
-                    out.append(name)
-                    break
-        return out
-
-    def per_host(self, since: float, until: float) -> dict[str, float]:
-        """Calls a second that each host got in a span of time."""
-
-        def count(name: str) -> int:
-            sent = self.sent.get(name, [])
-            return bisect_left(sent, until) - bisect_left(sent, since)
-
-        return {name: count(name) / (until - since) * 1000 for name in self.endpoints}
-
-
-def hash_of(name: str) -> int:
-    """A number of a name that is the same in every run."""
-    return sum(name.encode())
+        """Run the open-loop load for simulated seconds."""
+        requests_per_ms = self.requests_per_s * len(self.endpoints) / 1000
+        self._run_open_loop(seconds, requests_per_ms, self._send_request)
+
+    def overloaded_endpoints(self) -> list[str]:
+        """Return the endpoints that got too many requests in one window of their slow start.
+
+        With N requests allowed, too many are more than N + 2 * sqrt(N) + 2.
+        """
+        return [name for name in self.endpoints if self._was_overloaded(name)]
+
+    def received_per_s(self, since_ms: float, until_ms: float) -> dict[str, float]:
+        """Return the requests a second that each endpoint got between two simulated times."""
+        rates = {}
+        for name in self.endpoints:
+            sent_at_ms = self.sent_at_ms[name]
+            count = bisect_left(sent_at_ms, until_ms) - bisect_left(sent_at_ms, since_ms)
+            rates[name] = count / (until_ms - since_ms) * 1000
+        return rates
+
+    def _send_request(self) -> None:
+        request_id = f"r{self._next_serial()}"
+        index = self.rng.choices(range(len(self._gateways)), self._traffic_shares)[0]
+        self._deliver(index, RequestReceived(request_id, "read", "open", "c", 4000))
+
+    def _deliver(self, gateway_index: int, event: Event) -> None:
+        for action in self._gateways[gateway_index].handle(self.now_ms, event):
+            match action:
+                case StartAttempt():
+                    self._start_attempt(gateway_index, action)
+                case StartTimer():
+                    self._schedule(action.delay_ms, gateway_index, TimerFired(action.name))
+
+    def _start_attempt(self, gateway_index: int, action: StartAttempt) -> None:
+        self.sent_at_ms[action.endpoint].append(self.now_ms)
+        latency_ms = MEAN_LATENCY_MS * self.rng.uniform(0.5, 1.5)
+        outcome = AttemptEnded(action.request_id, 0, action.endpoint, AttemptResult.OK, latency_ms, True)
+        self._schedule(latency_ms, gateway_index, outcome)
+
+    def _was_overloaded(self, name: str) -> bool:
+        started_at_ms = self.endpoints[name].started_at_ms
+        if not started_at_ms:
+            return False  # warm from the start
+        sent_at_ms = self.sent_at_ms[name]
+        for position, window_start_ms in enumerate(sent_at_ms):
+            window_end_ms = window_start_ms + 1000 * OVERLOAD_WINDOW_S
+            if window_end_ms >= started_at_ms + 1000 * self._slow_start_s:
+                return False  # the slow start is over by the end of the window
+            allowed = self._allowed_requests(started_at_ms, window_start_ms)
+            received = bisect_left(sent_at_ms, window_end_ms) - position
+            if received > allowed + 2 * allowed**0.5 + 2:
+                return True
+        return False
+
+    def _allowed_requests(self, started_at_ms: float, window_start_ms: float) -> float:
+        """Requests that the settings allow an endpoint in a window, integrated over its slow start."""
+        window_ms = 1000 * OVERLOAD_WINDOW_S
+        weights = 0.0
+        for step in range(INTEGRATION_STEPS):
+            at_ms = window_start_ms + (step + 0.5) / INTEGRATION_STEPS * window_ms
+            progress = (at_ms - started_at_ms) / (1000 * self._slow_start_s)
+            weights += min(SLOW_START_MIN_WEIGHT + (1 - SLOW_START_MIN_WEIGHT) * progress, 1.0)
+        return self._overload_multiple * CAPACITY_PER_S * OVERLOAD_WINDOW_S * weights / INTEGRATION_STEPS
+
+
+def _endpoint(name: str, started_at_ms: float) -> Endpoint:
+    zone = "ab"[sum(name.encode()) % 2]  # the same in every run, unlike hash()
+    return Endpoint(name, zone, 0, EndpointStatus.UP, 1.0, started_at_ms)
--- a/tests/support/quota_simulation.py
+++ b/tests/support/quota_simulation.py
@@ -1,9 +1,9 @@
-"""A play of a fleet's quotas: what many gateways send on, against each customer's true store."""
+"""Simulation of a fleet's quotas: what many gateways forward, against each tenant's exact token bucket."""
 
 from __future__ import annotations
 
+import dataclasses
 import random
-from dataclasses import dataclass
 
 from api_gateway.decisions.gateway import Gateway
 from api_gateway.model.actions import IncrementCounter, RejectRequest, StartAttempt, StartTimer
@@ -21,147 +21,204 @@
 from support.event_simulation import EventSimulation
 from support.gateway_driver import endpoint, settings
 
-SWEEP_MS = 100.0
-SERVED_MS = 50.0
-ASKED = (0.2, 0.3, 0.3, 0.4, 0.5, 0.5, 0.9, 4.0)  # times its rate, for each customer
-
-
-@dataclass
-class Store:
-    """One customer's true quota store, and its ceiling's, in units."""
-
-    plan: Plan
-    left: float
-    ceiling: float
-    at_ms: float = 0.0
-    lowest_ceiling: float = 0.0
-
-    def fill(self, now_ms: float) -> None:
-        """Bring both stores up to a moment."""
-        span = (now_ms - self.at_ms) / 1000
-        self.left = min(self.plan.quota_burst, self.left + self.plan.quota_rate * span)
-        self.ceiling = min(self.plan.ceiling_burst, self.ceiling + self.plan.ceiling_rate * span)
-        self.at_ms = now_ms
-
-    def take(self, units: float) -> bool:
-        """One request is first sent on: whether it is inside the quota."""
-        self.ceiling -= units
-        self.lowest_ceiling = min(self.lowest_ceiling, self.ceiling)
-        inside = self.left >= units
-        if inside:
-            self.left -= units
-        return inside
+ENDPOINTS = 8
+LATENCY_MS = 50.0
+COUNTER_LATENCY_MS = 2.0
+REQUEST_UNITS = (1, 2, 3)  # equally frequent
+
+
+class SimulatedCounter:
+    """The shared counter, which rejects some of its calls."""
+
+    def __init__(self, rng: random.Random, rejected_share: float) -> None:
+        """Initialize the counter without any total.
+
+        Args:
+            rng: Decides which calls are rejected.
+            rejected_share: Part of the calls to reject, from 0 to 1.
+        """
+        self._rng, self._rejected_share = rng, rejected_share
+        self._totals: dict[str, float] = {}
+
+    def increment(self, action: IncrementCounter) -> CounterReply:
+        """Add to a total, unless the call is rejected, and return the reply."""
+        if self._rng.random() < self._rejected_share:
+            return CounterReply(action.name, CounterResult.OVERLOADED, 0, COUNTER_LATENCY_MS)
+        total = self._totals.get(action.name, 0.0) + action.amount
+        self._totals[action.name] = total
+        return CounterReply(action.name, CounterResult.OK, total, COUNTER_LATENCY_MS)
+
+
+@dataclasses.dataclass
+class TokenBucket:
+    """A tenant's exact token bucket, full at first, in units.
+
+    Attributes:
+        capacity: Most units that it holds.
+        tokens: Units that it holds.
+        units_within_quota: Units taken that it held.
+        units_over_quota: Units forwarded that it did not hold.
+    """
+
+    capacity: float
+    tokens: float = dataclasses.field(init=False)
+    units_within_quota: float = 0.0
+    units_over_quota: float = 0.0
+
+    def __post_init__(self) -> None:
+        self.tokens = self.capacity
+
+    def refill(self, units: float) -> None:
+        """Add units up to the capacity."""
+        self.tokens = min(self.capacity, self.tokens + units)
+
+    def take(self, units: float) -> None:
+        """Account a forwarded request."""
+        if self.tokens >= units:
+            self.tokens -= units
+            self.units_within_quota += units
+        else:
+            self.units_over_quota += units
 
 
 class QuotaSimulation(EventSimulation):
-    """Gateways, a counter that turns some calls away, and each customer's true store."""
+    """Gateways, the shared counter and each tenant's exact token bucket.
+
+    Attributes:
+        requests: Requests so far.
+        rejected_within_quota: Requests rejected although the token bucket was half full and held their
+            units.
+    """
 
     def __init__(
         self,
         seed: int,
         plan: Plan,
         *,
-        fleet: int = 200,
-        width: int | None = None,
-        asked: tuple[float, ...] = ASKED,
-        turned_away: float = 0.0,
-        call_ms: float = 2.0,
-        lean: float = 0.0,
-        units: tuple[int, ...] = (1, 2, 3),
+        fleet_size: int,
+        gateways_per_tenant: int,
+        load_factors: tuple[float, ...],
+        first_gateway_share: float = 0.0,
     ) -> None:
-        """`asked`: each customer's requests in parts of its rate; `lean`: part of them at one gateway."""
+        """Start all gateways with the full endpoint list.
+
+        Args:
+            seed: Seed of all random draws.
+            plan: Plan of all tenants.
+            fleet_size: Number of gateways.
+            gateways_per_tenant: Number of gateways that each tenant's requests go to.
+            load_factors: Requested units of each tenant, as a multiple of its quota.
+            first_gateway_share: Part of each tenant's requests that go to its first gateway; the others go
+                to any of its gateways.
+        """
         super().__init__(random.Random(seed), 1e6 + 1e4 * seed)
-        self.plan, self.asked, self.units = plan, asked, units
-        self.fleet, self.gateway_count = fleet, width or fleet
-        self.turned_away, self.call_ms, self.lean = turned_away, call_ms, lean
-        set_up = settings(
-            plans=(plan,), fleet_size=fleet, counter_timeout_ms=240.0, max_request_units=max(units)
+        self.requests = 0
+        self.rejected_within_quota = 0
+        self._plan, self._load_factors = plan, load_factors
+        self._gateways_per_tenant = gateways_per_tenant
+        self._first_gateway_share = first_gateway_share
+        common_settings = settings(
+            plans=(plan,),
+            fleet_size=fleet_size,
+            counter_timeout_ms=240.0,
+            max_request_units=max(REQUEST_UNITS),
         )
-        self.gateways = [Gateway(set_up, 1000 * seed + i) for i in range(fleet)]
-        self.totals: dict[str, float] = {}
-        self.stores = [Store(plan, plan.quota_burst, plan.ceiling_burst, self.now) for _ in asked]
-        self.first_gateway = [self.rng.randrange(fleet) for _ in asked]
-        self.inside = self.beyond = 0.0  # units
-        self.tries = self.refused = self.refused_with_room = self.calls = 0
-        self.open: dict[str, tuple[int, float]] = {}
-        for i in range(fleet):
-            self._give(i, EndpointUpdate(UpdateKind.CACHED, tuple(endpoint(n) for n in range(8))))
+        self._gateways = [Gateway(common_settings, 1000 * seed + index) for index in range(fleet_size)]
+        self._counter = SimulatedCounter(self.rng, rejected_share=0.0)
+        self._buckets = [TokenBucket(plan.quota_burst) for _ in load_factors]
+        self._refilled_at_ms = [self.now_ms] * len(load_factors)  # by tenant
+        self._first_gateway = [self.rng.randrange(fleet_size) for _ in load_factors]  # by tenant
+        self._pending: dict[str, tuple[int, float]] = {}  # by request id: tenant and units
+        update = EndpointUpdate(UpdateKind.CACHED, tuple(endpoint(i) for i in range(ENDPOINTS)))
+        for index in range(fleet_size):
+            self._deliver(index, update)
 
     def run(self, seconds: float) -> QuotaSimulation:
-        """Each customer asks at its own pace, in chance moments."""
-        mean = sum(self.units) / len(self.units)
-        paces = [times * self.plan.quota_rate / mean / 1000 for times in self.asked]
-        total = sum(paces)
-        customers = range(len(paces))
-        self._arrivals(seconds, total, lambda: self._ask(self.rng.choices(customers, paces)[0]))
+        """Run the open-loop load of all tenants for simulated seconds, and return the simulation itself."""
+        mean_units = sum(REQUEST_UNITS) / len(REQUEST_UNITS)
+        requests_per_ms = [
+            load_factor * self._plan.quota_rate / mean_units / 1000 for load_factor in self._load_factors
+        ]
+        tenants = range(len(requests_per_ms))
+        self._run_open_loop(
+            seconds,
+            sum(requests_per_ms),
+            lambda: self._send_request(self.rng.choices(tenants, requests_per_ms)[0]),
+        )
         return self
 
     @property
-    def within(self) -> float:
-        """Units that all quotas together allowed of what was asked."""
-        span = (self.now - self.born) / 1000
+    def units_within_quota(self) -> float:
+        """Units forwarded within the quotas."""
+        return sum(bucket.units_within_quota for bucket in self._buckets)
+
+    @property
+    def units_over_quota(self) -> float:
+        """Units forwarded over the quotas."""
+        return sum(bucket.units_over_quota for bucket in self._buckets)
+
+    @property
+    def units_allowed(self) -> float:
+        """Units that the quotas allow of what was requested on average."""
+        elapsed_s = (self.now_ms - self.started_at_ms) / 1000
+        rate, burst = self._plan.quota_rate, self._plan.quota_burst
         return sum(
-            min(times * self.plan.quota_rate * span, self.plan.quota_rate * span + self.plan.quota_burst)
-            for times in self.asked
+            min(load_factor * rate * elapsed_s, rate * elapsed_s + burst)
+            for load_factor in self._load_factors
         )
 
-    def _ask(self, customer: int) -> None:
-        self.serial += 1
-        rid, units = f"r{self.serial}", float(self.rng.choice(self.units))
-        self.tries += 1
-        self.open[rid] = customer, units
-        place = 0 if self.rng.random() < self.lean else self.rng.randrange(self.gateway_count)
-        gateway = (self.first_gateway[customer] + place) % self.fleet
-        self._give(
-            gateway,
+    def _send_request(self, tenant: int) -> None:
+        request_id = f"r{self._next_serial()}"
+        units = float(self.rng.choice(REQUEST_UNITS))
+        self.requests += 1
+        self._pending[request_id] = tenant, units
+        self._deliver(
+            self._draw_gateway(tenant),
             RequestReceived(
-                rid,
+                request_id,
                 "read",
-                self.plan.name,
-                f"c{customer}",
+                self._plan.name,
+                f"c{tenant}",
                 4000,
                 units,
-                self.gateway_count,
-                self.first_gateway[customer],
+                self._gateways_per_tenant,
+                self._first_gateway[tenant],
             ),
         )
 
-    def _give(self, i: int, event: Event) -> None:
-        for act in self.gateways[i].handle(self.now, event):
-            match act:
+    def _draw_gateway(self, tenant: int) -> int:
+        offset = 0
+        if self.rng.random() >= self._first_gateway_share:
+            offset = self.rng.randrange(self._gateways_per_tenant)
+        return (self._first_gateway[tenant] + offset) % len(self._gateways)
+
+    def _deliver(self, gateway_index: int, event: Event) -> None:
+        for action in self._gateways[gateway_index].handle(self.now_ms, event):
+            match action:
                 case IncrementCounter():
-                    self._count(i, act)
+                    self._schedule(COUNTER_LATENCY_MS, gateway_index, self._counter.increment(action))
                 case StartAttempt():
-                    self._sent(i, act)
+                    self._start_attempt(gateway_index, action)
                 case RejectRequest():
-                    self._refuse(act)
+                    self._count_rejection(action)
                 case StartTimer():
-                    self._later(act.delay_ms, i, TimerFired(act.name))
-
-    def _count(self, i: int, act: IncrementCounter) -> None:
-        self.calls += 1
-        if self.rng.random() < self.turned_away:
-            reply = CounterReply(act.name, CounterResult.OVERLOADED, 0, self.call_ms)
-        else:
-            self.totals[act.name] = self.totals.get(act.name, 0.0) + act.amount
-            reply = CounterReply(act.name, CounterResult.OK, self.totals[act.name], self.call_ms)
-        self._later(self.call_ms, i, reply)
-
-    def _sent(self, i: int, act: StartAttempt) -> None:
-        customer, units = self.open.pop(act.request_id)
-        store = self.stores[customer]
-        store.fill(self.now)
-        if store.take(units):
-            self.inside += units
-        else:
-            self.beyond += units
-        self._later(
-            SERVED_MS, i, AttemptEnded(act.request_id, 0, act.endpoint, AttemptResult.OK, SERVED_MS, True)
-        )
-
-    def _refuse(self, act: RejectRequest) -> None:
-        customer, units = self.open.pop(act.request_id)
-        store = self.stores[customer]
-        store.fill(self.now)
-        self.refused += 1
-        self.refused_with_room += store.left >= max(self.plan.quota_burst / 2, units)
+                    self._schedule(action.delay_ms, gateway_index, TimerFired(action.name))
+
+    def _start_attempt(self, gateway_index: int, action: StartAttempt) -> None:
+        tenant, units = self._pending.pop(action.request_id)
+        self._refilled_bucket(tenant).take(units)
+        outcome = AttemptEnded(action.request_id, 0, action.endpoint, AttemptResult.OK, LATENCY_MS, True)
+        self._schedule(LATENCY_MS, gateway_index, outcome)
+
+    def _count_rejection(self, action: RejectRequest) -> None:
+        tenant, units = self._pending.pop(action.request_id)
+        tokens = self._refilled_bucket(tenant).tokens
+        self.rejected_within_quota += tokens >= max(self._plan.quota_burst / 2, units)
+
+    def _refilled_bucket(self, tenant: int) -> TokenBucket:
+        """The token bucket of a tenant, as it is now."""
+        elapsed_s = (self.now_ms - self._refilled_at_ms[tenant]) / 1000
+        self._refilled_at_ms[tenant] = self.now_ms
+        bucket = self._buckets[tenant]
+        bucket.refill(self._plan.quota_rate * elapsed_s)
+        return bucket
--- a/tests/test_acceptance_terms.py
+++ b/tests/test_acceptance_terms.py
@@ -660,34 +660,34 @@
     """A tight and a wide multiple, a short and a long ramp, thin and thick traffic, uneven over gateways."""
     play = FleetSimulation(
         gateways=gateways,
-        hosts=hosts,
-        rate=rate,
-        multiple=multiple,
-        cold_s=cold_s,
-        skew=1.0,
+        endpoints=hosts,
+        requests_per_s=rate,
+        overload_multiple=multiple,
+        slow_start_s=cold_s,
+        traffic_share_shape=1.0,
         seed=gateways + hosts,
     )
     if fresh != "all":
         play.run(4)
-    born = play.replace(list(play.endpoints)[: round(part * hosts)])
+    born = play.replace_endpoints(list(play.endpoints)[: round(part * hosts)])
     if fresh == "half":
         for i in range(0, gateways, 2):
-            play.restart(i)
+            play.restart_gateway(i)
     play.run(cold_s + 1)
-    assert play.fallen() == []
-    sent = sum(len(play.sent.get(name, [])) for name in born)
+    assert play.overloaded_endpoints() == []
+    sent = sum(len(play.sent_at_ms[name]) for name in born)
     assert sent > 0.2 * rate * cold_s * len(born) * min(part, 1 - part), "and they are not left idle"
 
 
 def test_the_fleet_does_not_run_onto_the_hosts_that_become_warm() -> None:
     """Five of fifty become warm in one moment: what all sent to them while cold makes no favourite."""
     for seed in (1, 2, 3):
-        play = FleetSimulation(rate=15, multiple=2.5, cold_s=5, seed=seed)
+        play = FleetSimulation(requests_per_s=15, overload_multiple=2.5, slow_start_s=5, seed=seed)
         play.run(6)
-        born = play.replace(list(play.endpoints)[:5])
-        warm_at = play.now + 5000
+        born = play.replace_endpoints(list(play.endpoints)[:5])
+        warm_at = play.now_ms + 5000
         play.run(9)
-        each = play.per_host(warm_at, warm_at + 2000)
-        assert max(each[name] for name in born) < 2 * play.rate
-        assert sum(each[name] for name in born) / 5 < 1.5 * play.rate
-        assert sum(each[name] for name in born) / 5 > 0.5 * play.rate
+        each = play.received_per_s(warm_at, warm_at + 2000)
+        assert max(each[name] for name in born) < 2 * play.requests_per_s
+        assert sum(each[name] for name in born) / 5 < 1.5 * play.requests_per_s
+        assert sum(each[name] for name in born) / 5 > 0.5 * play.requests_per_s
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -1,96 +1,124 @@
-"""What must hold at any deployment: classes near and far from their aims, and small stores over wide sets."""
+"""Behaviour that must hold in any deployment, in simulation.
+
+Service times lie near to and far from the latency objectives, and small token buckets are shared by many
+gateways.
+"""
 
 from __future__ import annotations
 
 import dataclasses
 
 import pytest
-from support.endpoint_simulation import EndpointSimulation, Load
+from support.endpoint_simulation import Distribution, EndpointSimulation, Load
 from support.quota_simulation import QuotaSimulation
 
 from api_gateway.model.settings import Plan, RequestClass
 
 SEEDS = (1, 2, 3)
-NEAR = RequestClass("near", latency_objective_ms=100, deadline_ms=400, priority_weight=5)
-FAR = RequestClass("far", latency_objective_ms=2000, deadline_ms=8000, priority_weight=1)
-ASKED = (0.3, 0.3, 0.3, 0.3, 0.2, 0.4, 0.4, 0.5, 0.9, 0.95, 3.0) * 4  # times its rate, for each customer
-
-
-def one_class(ratio: float, rate: float, shape: str, times: float = 1.0) -> Load:
-    """Requests whose work is `ratio` of their aim, in the mean."""
-    cls = RequestClass("read", latency_objective_ms=1000 * times, deadline_ms=4000 * times, priority_weight=3)
-    return Load(cls, 1000 * times * ratio, rate, shape)
-
-
-def turned_away_when_idle(load: Load, seconds: float = 30.0) -> float:
-    """Share of the requests that a gateway of 60 hosts turns away although none of them ever queues."""
-    tallies = [EndpointSimulation([load], seed=seed).run(seconds).tallies[load.cls.name] for seed in SEEDS]
-    return sum(tally.refused for tally in tallies) / sum(tally.asked for tally in tallies)
-
-
-@pytest.mark.parametrize("rate", [5, 20, 80])
-@pytest.mark.parametrize("ratio", [0.05, 0.2, 0.3, 0.4, 0.5])
-def test_idle_hosts_are_not_shed_for_however_near_work_lies_to_its_aim(ratio: float, rate: float) -> None:
-    assert turned_away_when_idle(one_class(ratio, rate, "lognormal")) < 0.02
-
-
-@pytest.mark.parametrize("ratio", [0.3, 0.5])
-def test_idle_hosts_are_hardly_shed_for_where_work_varies_as_much_as_its_mean(ratio: float) -> None:
-    assert turned_away_when_idle(one_class(ratio, 20, "exponential")) < 0.04
-
-
-@pytest.mark.parametrize("times", [0.1, 1.0, 10.0])
-def test_all_times_scaled_leave_the_same_share(times: float) -> None:
-    load = one_class(0.5, 20 / max(times, 1.0), "lognormal", times)
-    play = EndpointSimulation([load], seed=1).run(30 * max(times, 1.0))
-    assert play.tallies["read"].turned_away < 0.02
-
-
-def test_worths_scaled_and_classes_in_another_order_change_nothing() -> None:
+SHORT_OBJECTIVE = RequestClass("short", latency_objective_ms=100, deadline_ms=400, priority_weight=5)
+LONG_OBJECTIVE = RequestClass("long", latency_objective_ms=2000, deadline_ms=8000, priority_weight=1)
+QUEUEING_ENDPOINTS = {"endpoints": 6, "cores": 2, "gateways": 4}  # 12 cores
+# Requested units of each tenant, as a multiple of its quota.
+TENANT_LOAD_FACTORS = (0.3, 0.3, 0.3, 0.3, 0.2, 0.4, 0.4, 0.5, 0.9, 0.95, 3.0) * 4
+
+
+def single_class_load(
+    service_share: float,
+    requests_per_s: float,
+    distribution: Distribution = Distribution.LOGNORMAL,
+    time_scale: float = 1.0,
+) -> Load:
+    """Create the load of one class.
+
+    Args:
+        service_share: Mean service time over the latency objective.
+        requests_per_s: Requests a second to each gateway.
+        distribution: Distribution of the service time.
+        time_scale: Multiple of the objective of 1 s and the deadline of 4 s.
+    """
+    request_class = RequestClass(
+        "read", latency_objective_ms=1000 * time_scale, deadline_ms=4000 * time_scale, priority_weight=3
+    )
+    return Load(request_class, 1000 * time_scale * service_share, requests_per_s, distribution)
+
+
+def rejected_share_without_queueing(load: Load, seconds: float = 30.0) -> float:
+    """Return the rejected share at a gateway before 60 endpoints where no request ever queues."""
+    name = load.request_class.name
+    counts = [EndpointSimulation([load], seed=seed).run(seconds).counts[name] for seed in SEEDS]
+    return sum(count.rejected for count in counts) / sum(count.received for count in counts)
+
+
+@pytest.mark.parametrize("requests_per_s", [5, 20, 80])
+@pytest.mark.parametrize("service_share", [0.05, 0.2, 0.3, 0.4, 0.5])
+def test_idle_endpoints_cause_no_rejections_at_any_service_time(
+    service_share: float, requests_per_s: float
+) -> None:
+    assert rejected_share_without_queueing(single_class_load(service_share, requests_per_s)) < 0.02
+
+
+@pytest.mark.parametrize("service_share", [0.3, 0.5])
+def test_idle_endpoints_cause_few_rejections_at_exponential_service_times(service_share: float) -> None:
+    load = single_class_load(service_share, 20, Distribution.EXPONENTIAL)
+    assert rejected_share_without_queueing(load) < 0.04
+
+
+@pytest.mark.parametrize("time_scale", [0.1, 1.0, 10.0])
+def test_rejections_do_not_depend_on_the_scale_of_time(time_scale: float) -> None:
+    load = single_class_load(0.5, 20 / max(time_scale, 1.0), time_scale=time_scale)
+    simulation = EndpointSimulation([load], seed=1).run(30 * max(time_scale, 1.0))
+    assert simulation.counts["read"].rejected_share < 0.02
+
+
+def test_scaled_weights_and_reordered_classes_change_nothing() -> None:
     def served(loads: list[Load]) -> dict[str, int]:
-        play = EndpointSimulation(
-            sorted(loads, key=lambda load: load.rate), hosts=6, cores=2, gateways=4, seed=1
-        )
-        return {name: tally.served for name, tally in play.run(15).tallies.items()}
+        ordered = sorted(loads, key=lambda load: load.requests_per_s)
+        counts = EndpointSimulation(ordered, seed=1, **QUEUEING_ENDPOINTS).run(15).counts
+        return {name: count.served_in_time for name, count in counts.items()}
+
+    def with_scaled_weight(load: Load) -> Load:
+        request_class = load.request_class
+        scaled = dataclasses.replace(request_class, priority_weight=100 * request_class.priority_weight)
+        return dataclasses.replace(load, request_class=scaled)
 
-    loads = [Load(NEAR, 45, 30), Load(FAR, 100, 31)]
-    scaled = [
-        dataclasses.replace(
-            load, cls=dataclasses.replace(load.cls, priority_weight=100 * load.cls.priority_weight)
-        )
-        for load in loads
-    ]
-    assert served(loads) == served(loads[::-1]) == served(scaled)
+    loads = [Load(SHORT_OBJECTIVE, 45, 30), Load(LONG_OBJECTIVE, 100, 31)]
+    scaled_loads = [with_scaled_weight(load) for load in loads]
+    assert served(loads) == served(loads[::-1]) == served(scaled_loads)
 
 
-def test_a_class_near_its_aim_starves_none_while_hosts_are_idle() -> None:
-    tallies = EndpointSimulation([Load(NEAR, 45, 20), Load(FAR, 100, 20)], seed=1).run(30).tallies
-    assert tallies["near"].turned_away < 0.02 and tallies["near"].share_served > 0.85
-    assert tallies["far"].turned_away < 0.02 and tallies["far"].share_served > 0.97
+def test_no_class_starves_while_endpoints_are_idle() -> None:
+    loads = [Load(SHORT_OBJECTIVE, 45, 20), Load(LONG_OBJECTIVE, 100, 20)]
+    counts = EndpointSimulation(loads, seed=1).run(30).counts
+    assert counts["short"].rejected_share < 0.02 and counts["short"].served_share > 0.85
+    assert counts["long"].rejected_share < 0.02 and counts["long"].served_share > 0.97
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_pressed_hosts_shed_by_worth_per_work_and_leave_each_class_a_part(seed: int) -> None:
-    loads = [Load(NEAR, 45, 20), Load(FAR, 100, 20)]  # 0.97 of what 12 cores can do
-    play = EndpointSimulation(loads, hosts=6, cores=2, gateways=4, seed=seed).run(5, pace=0.4)
-    play.forget()
-    tallies = play.run(20, pace=1.5).tallies
-    assert tallies["near"].turned_away < tallies["far"].turned_away, "worth more, and less work"
-    assert tallies["far"].share_served > 0.25, "half of what can be served is what the gate wants"
-    assert tallies["near"].share_served > 0.25
+def test_overload_rejects_by_weight_per_service_time_and_serves_a_part_of_each_class(seed: int) -> None:
+    loads = [Load(SHORT_OBJECTIVE, 45, 20), Load(LONG_OBJECTIVE, 100, 20)]  # 0.97 of the cores' capacity
+    simulation = EndpointSimulation(loads, seed=seed, **QUEUEING_ENDPOINTS).run(5, load_factor=0.4)
+    simulation.reset_counts()
+    counts = simulation.run(20, load_factor=1.5).counts
+    assert counts["short"].rejected_share < counts["long"].rejected_share, "more weight, less service time"
+    assert counts["long"].served_share > 0.25, "half of the served share that is aimed at"
+    assert counts["short"].served_share > 0.25
 
 
-@pytest.mark.parametrize("ratio", [0.05, 0.1, 0.2, 0.3, 0.5])
-def test_pressure_is_seen_however_near_work_lies_to_its_aim(ratio: float) -> None:
-    load = one_class(ratio, 3 / ratio, "lognormal")  # 4 gateways before 12 cores: as much as these can do
-    play = EndpointSimulation([load], hosts=6, cores=2, gateways=4, seed=1).run(5, pace=0.4).run(13, pace=2)
-    assert play.offered_work(8000) < 1.2, "3 s after twice as much is asked"
+@pytest.mark.parametrize("service_share", [0.05, 0.1, 0.2, 0.3, 0.5])
+def test_overload_is_detected_at_any_service_time(service_share: float) -> None:
+    load = single_class_load(service_share, 3 / service_share)  # the full capacity of the cores
+    simulation = EndpointSimulation([load], seed=1, **QUEUEING_ENDPOINTS)
+    simulation.run(5, load_factor=0.4).run(13, load_factor=2)
+    assert simulation.offered_utilization(8000) < 1.2, "from 3 s after the start of the overload"
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_small_stores_over_wide_sets_are_not_refused_with_room(seed: int) -> None:
-    """A perfect counter, sets of 58 of 60 gateways, stores of 9 units: 0 to 0.22 of the tries before."""
+def test_small_token_buckets_over_many_gateways_are_not_rejected_within_quota(seed: int) -> None:
+    """The counter rejects nothing, and each tenant's bucket of 9 units is shared by 58 of 60 gateways."""
     plan = Plan("team", quota_rate=0.83, quota_burst=9, over_quota_cost=1.0)
-    play = QuotaSimulation(seed, plan, fleet=60, width=58, asked=ASKED).run(30)
-    assert play.refused_with_room < 0.04 * play.tries
-    assert play.inside > 0.88 * play.within and play.beyond < 0.1 * play.within
+    simulation = QuotaSimulation(
+        seed, plan, fleet_size=60, gateways_per_tenant=58, load_factors=TENANT_LOAD_FACTORS
+    ).run(30)
+    assert simulation.rejected_within_quota < 0.04 * simulation.requests
+    assert simulation.units_within_quota > 0.88 * simulation.units_allowed
+    assert simulation.units_over_quota < 0.1 * simulation.units_allowed
--- a/tests/test_fleet_quota.py
+++ b/tests/test_fleet_quota.py
@@ -1,96 +1,108 @@
-"""Quotas over a whole fleet: what 200 gateways send on beyond them on a quiet day, against true stores."""
+"""Quotas of a whole fleet of 200 gateways, against exact token buckets, with few rejected counter calls."""
 
 from __future__ import annotations
 
 import random
+from typing import NamedTuple
 
+import pytest
 from support.gateway_driver import endpoint, settings
+from support.quota_simulation import ENDPOINTS, REQUEST_UNITS, SimulatedCounter, TokenBucket
 
 from api_gateway.decisions.gateway import Gateway
 from api_gateway.model.actions import IncrementCounter, StartAttempt
 from api_gateway.model.endpoints import UpdateKind
-from api_gateway.model.events import (
-    AttemptEnded,
-    CounterReply,
-    EndpointUpdate,
-    Event,
-    RequestReceived,
-    TimerFired,
-)
-from api_gateway.model.results import AttemptResult, CounterResult
+from api_gateway.model.events import AttemptEnded, EndpointUpdate, Event, RequestReceived, TimerFired
+from api_gateway.model.results import AttemptResult
 from api_gateway.model.settings import Plan
 
-FLEET = 200
+FLEET_SIZE = 200
 PLAN = Plan("team", quota_rate=5, quota_burst=20, over_quota_cost=1.0)
-TURNED_AWAY = 0.15  # of the counter calls of a fleet of 200, as seen on quiet days at size
-ASKED = (0.2, 0.3, 0.3, 0.4, 0.5, 0.5, 0.9, 4.0)  # times its rate, for each customer
+REJECTED_COUNTER_CALLS = 0.15  # part of the calls
+LOAD_FACTORS = (0.2, 0.3, 0.3, 0.4, 0.5, 0.5, 0.9, 4.0)  # requested units of each tenant over its quota
+SWEEP_INTERVAL_MS = 100.0
+START_MS = 1e6
+SECONDS = 30
 
 
-class Fleet:
-    """Gateways, a counter that turns some calls away, and each customer's true store."""
+class Arrival(NamedTuple):
+    """A request to come, in milliseconds after the start."""
+
+    at_ms: float
+    tenant: int
+
+
+class ImmediateQuotaSimulation:
+    """A fleet whose counter and endpoints respond at once, with a fixed number of requests.
+
+    Unlike `QuotaSimulation` it has no event queue: no reply takes time, and all gateways sweep together.
+    """
 
     def __init__(self, seed: int) -> None:
-        self.rng, self.now = random.Random(seed), 1e6
-        set_up = settings(plans=(PLAN,), fleet_size=FLEET, counter_timeout_ms=240.0)
-        self.gateways = [Gateway(set_up, i) for i in range(FLEET)]
-        self.totals: dict[str, float] = {}
-        self.store = [PLAN.quota_burst] * len(ASKED)
-        self.inside = self.beyond = 0.0
-        for gateway in self.gateways:
-            gateway.handle(self.now, EndpointUpdate(UpdateKind.CACHED, tuple(endpoint(i) for i in range(8))))
-
-    def play(self, seconds: float) -> None:
-        arrivals = sorted(
-            (self.rng.random() * seconds * 1000, i)
-            for i, times in enumerate(ASKED)
-            for _ in range(round(seconds * times * PLAN.quota_rate / 2))
+        self._rng = random.Random(seed)
+        self._counter = SimulatedCounter(self._rng, REJECTED_COUNTER_CALLS)
+        self._pending: dict[str, tuple[int, float]] = {}  # by request id: tenant and units
+        self.buckets = [TokenBucket(PLAN.quota_burst) for _ in LOAD_FACTORS]
+        fleet_settings = settings(plans=(PLAN,), fleet_size=FLEET_SIZE, counter_timeout_ms=240.0)
+        self._gateways = [Gateway(fleet_settings, index) for index in range(FLEET_SIZE)]
+        update = EndpointUpdate(UpdateKind.CACHED, tuple(endpoint(i) for i in range(ENDPOINTS)))
+        for gateway in self._gateways:
+            gateway.handle(START_MS, update)
+
+    def run(self, seconds: float) -> None:
+        """Run the load for simulated seconds."""
+        refilled_at_ms = sweep_at_ms = 0.0
+        for serial, arrival in enumerate(self._draw_arrivals(seconds)):
+            while sweep_at_ms < arrival.at_ms:
+                for gateway in self._gateways:
+                    self._deliver(gateway, sweep_at_ms, TimerFired("sweep"))
+                sweep_at_ms += SWEEP_INTERVAL_MS
+            for bucket in self.buckets:
+                bucket.refill(PLAN.quota_rate * (arrival.at_ms - refilled_at_ms) / 1000)
+            refilled_at_ms = arrival.at_ms
+            self._send_request(f"r{serial}", arrival)
+
+    def _draw_arrivals(self, seconds: float) -> list[Arrival]:
+        mean_units = sum(REQUEST_UNITS) / len(REQUEST_UNITS)
+        return sorted(
+            Arrival(self._rng.random() * seconds * 1000, tenant)
+            for tenant, load_factor in enumerate(LOAD_FACTORS)
+            for _ in range(round(seconds * load_factor * PLAN.quota_rate / mean_units))
         )
-        last = sweep = 0.0
-        for serial, (at, customer) in enumerate(arrivals):
-            while sweep < at:
-                for gateway in self.gateways:
-                    self._give(gateway, sweep, TimerFired("sweep"))
-                sweep += 100.0
-            for i in range(len(ASKED)):
-                self.store[i] = min(PLAN.quota_burst, self.store[i] + PLAN.quota_rate * (at - last) / 1000)
-            last, units = at, self.rng.choice((1, 2, 3))
-            rid = f"r{serial}.{customer}.{units}"
-            self._give(
-                self.rng.choice(self.gateways),
-                at,
-                RequestReceived(rid, "read", "team", f"c{customer}", 4000, units, FLEET, 0),
-            )
-
-    def _give(self, gateway: Gateway, at: float, event: Event) -> None:
+
+    def _send_request(self, request_id: str, arrival: Arrival) -> None:
+        units = self._rng.choice(REQUEST_UNITS)
+        self._pending[request_id] = arrival.tenant, float(units)
+        gateway = self._rng.choice(self._gateways)
+        request = RequestReceived(
+            request_id, "read", PLAN.name, f"c{arrival.tenant}", 4000, units, FLEET_SIZE, 0
+        )
+        self._deliver(gateway, arrival.at_ms, request)
+
+    def _deliver(self, gateway: Gateway, at_ms: float, event: Event) -> None:
         events = [event]
         while events:
-            for act in gateway.handle(self.now + at, events.pop(0)):
-                if isinstance(act, IncrementCounter):
-                    events.append(self._count(act))
-                elif isinstance(act, StartAttempt):
-                    _, customer, units = act.request_id.split(".")
-                    self._sent(int(customer), float(units))
-                    events.append(AttemptEnded(act.request_id, 0, act.endpoint, AttemptResult.OK, 50, True))
-
-    def _count(self, act: IncrementCounter) -> CounterReply:
-        if self.rng.random() < TURNED_AWAY:
-            return CounterReply(act.name, CounterResult.OVERLOADED, 0, 2)
-        self.totals[act.name] = self.totals.get(act.name, 0.0) + act.amount
-        return CounterReply(act.name, CounterResult.OK, self.totals[act.name], 2)
-
-    def _sent(self, customer: int, units: float) -> None:
-        if self.store[customer] >= units:
-            self.store[customer] -= units
-            self.inside += units
-        else:
-            self.beyond += units
-
-
-def test_a_quiet_days_sends_beyond_quotas_cost_under_a_tenth() -> None:
-    """Who sees the true state late sends next to nothing beyond: the term leaves 0.1 of the worth for it."""
-    for seed in (1, 2):
-        fleet = Fleet(seed)
-        fleet.play(30)
-        within = sum(min(times, 1.0) for times in ASKED) * PLAN.quota_rate * 30 + PLAN.quota_burst
-        assert PLAN.over_quota_cost * fleet.beyond / within < 0.1
-        assert fleet.inside / within > 0.85  # and not by refusing what is inside
+            for action in gateway.handle(START_MS + at_ms, events.pop(0)):
+                if isinstance(action, IncrementCounter):
+                    events.append(self._counter.increment(action))
+                elif isinstance(action, StartAttempt):
+                    tenant, units = self._pending.pop(action.request_id)
+                    self.buckets[tenant].take(units)
+                    events.append(
+                        AttemptEnded(action.request_id, 0, action.endpoint, AttemptResult.OK, 50, True)
+                    )
+
+
+@pytest.mark.parametrize("seed", [1, 2])
+def test_a_fleet_forwards_little_over_quota_and_most_of_what_is_within(seed: int) -> None:
+    """The cost of the units over quota is less than 0.1 of the value of those within."""
+    simulation = ImmediateQuotaSimulation(seed)
+    simulation.run(SECONDS)
+    allowed = (
+        sum(min(load_factor, 1.0) for load_factor in LOAD_FACTORS) * PLAN.quota_rate * SECONDS
+        + PLAN.quota_burst
+    )
+    over = sum(bucket.units_over_quota for bucket in simulation.buckets)
+    within = sum(bucket.units_within_quota for bucket in simulation.buckets)
+    assert PLAN.over_quota_cost * over / allowed < 0.1
+    assert within / allowed > 0.85
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -100,11 +100,13 @@
 def test_load_is_spread_over_the_hosts_at_every_size(gateways: int, hosts: int, skew: float) -> None:
     """Even and uneven traffic over gateways. Each gateway's own choice of hosts to keep connections to left
     the busiest with 2.3 to 3.3 times the mean at 200 gateways, and some with nothing."""
-    play = FleetSimulation(gateways=gateways, hosts=hosts, rate=10, skew=skew, seed=3)
+    play = FleetSimulation(
+        gateways=gateways, endpoints=hosts, requests_per_s=10, traffic_share_shape=skew, seed=3
+    )
     play.run(5)
-    since = play.now
+    since = play.now_ms
     play.run(15)
-    each = list(play.per_host(since, play.now).values())
+    each = list(play.received_per_s(since, play.now_ms).values())
     assert max(each) < (1.6 if not skew else 2.2) * statistics.mean(each)
     assert min(each) > 0.15 * statistics.mean(each)
 
