--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -60,16 +60,18 @@
     assert not {"h3", "h5"} & {h.name for h in now} and len(now) >= MIN_SIZE
 
 
-@pytest.mark.parametrize(("gateways", "hosts"), [(1, 6), (3, 14), (40, 60), (200, 200)])
-@pytest.mark.parametrize("skew", [0.0, 0.8])
-def test_load_is_spread_over_the_endpoints_at_every_size(gateways: int, hosts: int, skew: float) -> None:
+@pytest.mark.parametrize(("gateways", "endpoints"), [(1, 6), (3, 14), (40, 60), (200, 200)])
+@pytest.mark.parametrize("shape", [0.0, 0.8])
+def test_load_is_spread_over_the_endpoints_at_every_size(gateways: int, endpoints: int, shape: float) -> None:
     """Even and uneven traffic over gateways; the busiest and the idlest endpoint against the mean."""
-    play = FleetSimulation(gateways=gateways, hosts=hosts, rate=10, skew=skew, seed=3)
+    play = FleetSimulation(
+        gateways=gateways, endpoints=endpoints, requests_per_s=10, traffic_share_shape=shape, seed=3
+    )
     play.run(5)
-    since = play.now
+    since = play.now_ms
     play.run(15)
-    each = list(play.per_host(since, play.now).values())
-    assert max(each) < (1.6 if not skew else 2.2) * statistics.mean(each)
+    each = list(play.received_per_s(since, play.now_ms).values())
+    assert max(each) < (1.6 if not shape else 2.2) * statistics.mean(each)
     assert min(each) > 0.15 * statistics.mean(each)
 
 
