--- a/api_gateway/__main__.py
+++ b/api_gateway/__main__.py
@@ -83,7 +83,7 @@
 def _reload(dispatcher: Dispatcher) -> None:
     """SIGHUP: a file that is no good changes nothing."""
     try:
-        config = load(os.environ, again=True)
+        config = load(os.environ, is_reload=True)
     except ConfigurationError as error:
         logging.error("reload: the configuration is kept: %s", error)
         return
@@ -95,7 +95,7 @@
     """Run until SIGTERM or SIGINT has been served."""
     loop = asyncio.get_running_loop()
     dispatcher = Dispatcher(config, loop)
-    server = Listener(dispatcher, loop, config.sockets)
+    server = Listener(dispatcher, loop, config.max_descriptors)
     shutdown = Shutdown(dispatcher, server, loop)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, shutdown.begin)
--- a/api_gateway/configuration.py
+++ b/api_gateway/configuration.py
@@ -1,178 +1,215 @@
-"""The configuration that a gateway is started with: file and environment to typed values."""
+"""The configuration of one gateway: a JSON file and environment variables, as typed values."""
 
 from __future__ import annotations
 
 import json
 import resource
-from collections.abc import Iterator, Mapping
+from collections.abc import Mapping
 from dataclasses import dataclass, replace
 from pathlib import Path
 
+from api_gateway.errors import ConfigurationError, SettingError
 from api_gateway.model.settings import Settings
 from api_gateway.network.discovery import EndpointList, parse_endpoint_list
-from api_gateway.simulator import codec as wire
+from api_gateway.settings_codec import (
+    TransportSettings,
+    check_settings,
+    decode_settings,
+    decode_transport_settings,
+    flatten,
+)
 
 Address = tuple[str, int]
-COUNT_PATIENCE = 3.0  # how long a counter call is waited for, in the time that the settings give it
-DEFAULT_SOCKETS = 1024
-LEAST_SOCKETS = 128
-CLIENT_SHARE, UPSTREAM_SHARE = 0.5, 0.36  # of the descriptors
-# Four connections to the counter and one to discovery, twice while SIGHUP moves them, the listener, the
-# streams and what the loop holds (13 seen), and some that are closed in this turn and free in the next.
-OWN_SOCKETS = 30
 
+CONFIGURATION_VARIABLE = "ROUTER_CONFIG"
+OVERRIDES = {"name": "ROUTER_NAME", "listen": "ROUTER_LISTEN", "discovery": "ROUTER_DISCOVERY"}
 
-class ConfigurationError(ValueError):
-    """A configuration that no gateway can be started with; the text names the field."""
+# A busy counter answers later than the configured time, and a late total is as true as any other. Waiting for
+# it keeps the counter from being mistaken for one that is down.
+COUNTER_TIMEOUT_FACTOR = 3.0
+
+DEFAULT_DESCRIPTORS = 1024
+MIN_DESCRIPTORS = 128
+DOWNSTREAM_SHARE = 0.5
+UPSTREAM_SHARE = 0.36
+# Held by the process beside connections to clients and endpoints: four connections to the counter and one to
+# discovery (each twice while SIGHUP moves them), the listening socket, the standard streams, the event loop's
+# own, and connections that are closed in one turn of the loop and freed in the next.
+RESERVED_DESCRIPTORS = 30
 
 
 @dataclass(slots=True, frozen=True)
 class Configuration:
-    """What one gateway is told when it starts."""
+    """The configuration that one gateway is started with.
+
+    Attributes:
+        name: Name of the gateway in its log; empty by default.
+        listen: Host and port for clients; port 0 lets the system choose.
+        discovery: Host and port of discovery.
+        counter: Host and port of the counter; None if the counter is not used.
+        seed: Seed of all random draws.
+        max_descriptors: File descriptors that the process may hold; 1024 by default, and never more than
+            the limit of the system.
+        settings: The settings of the decisions.
+        cached_endpoints: The endpoint list known before discovery answers; empty by default.
+        connect_timeout_ms: Time within which a connection to an endpoint must be established; 250 by default.
+        idle_timeout_ms: Time after which endpoints close an idle connection; 15000 by default.
+        max_poll_interval_ms: A gateway must ask discovery at least this often where it is polled; 10000 by
+            default.
+    """
 
     name: str
     listen: Address
     discovery: Address
     counter: Address | None
     seed: int
-    sockets: int
+    max_descriptors: int
     settings: Settings
-    known: EndpointList
-    dial_ms: float
-    idle_ms: float
-    ask_within_ms: float = 10000.0  # who has not asked discovery for so long counts as told
+    cached_endpoints: EndpointList
+    connect_timeout_ms: float
+    idle_timeout_ms: float
+    max_poll_interval_ms: float = 10000.0
 
 
-def load(environ: Mapping[str, str], again: bool = False) -> Configuration:
-    """The configuration that `ROUTER_CONFIG` names; the single variables go before the file.
+def load(environment: Mapping[str, str], is_reload: bool = False) -> Configuration:
+    """Read the file that `ROUTER_CONFIG` names; the other variables take precedence over the file.
 
-    When it is read again the file has the news: the environment tells where discovery was at the start.
+    Args:
+        environment: The environment variables of the process.
+        is_reload: Whether the process is running already. The environment names the discovery of the start,
+            so the file alone names it then.
+
+    Raises:
+        ConfigurationError: The file cannot be read, or no gateway can be started with what it holds.
     """
-    path = environ.get("ROUTER_CONFIG")
+    path = environment.get(CONFIGURATION_VARIABLE)
     if not path:
-        raise ConfigurationError("ROUTER_CONFIG: is not set")
-    try:
-        raw = json.loads(Path(path).read_text(encoding="utf-8"))
-    except (OSError, ValueError) as error:
-        raise ConfigurationError(f"ROUTER_CONFIG: cannot be read: {error}") from None
-    if not isinstance(raw, dict):
-        raise ConfigurationError("ROUTER_CONFIG: must hold a JSON object")
-    for field, variable in (
-        ("name", "ROUTER_NAME"),
-        ("listen", "ROUTER_LISTEN"),
-        ("discovery", "ROUTER_DISCOVERY"),
-    ):
-        if environ.get(variable) and not (again and field == "discovery"):
-            raw[field] = environ[variable]
+        raise ConfigurationError(f"{CONFIGURATION_VARIABLE}: is not set")
+    raw = _read_json_object(path)
+    for key, variable in OVERRIDES.items():
+        if environment.get(variable) and not (is_reload and key == "discovery"):
+            raw[key] = environment[variable]
     return parse(raw)
 
 
-def parse(raw: dict[str, object]) -> Configuration:
-    """The object of the file as a `Config`."""
-    pairs = dict(_flatten("", _object(raw, "settings")))
-    settings = _settings(pairs)
-    # The counter answers however late, and what it says is true then, too: given up at the bound, one call in
-    # seven of a busy counter taught nothing, and the module took it for silent.
-    settings = replace(settings, counter_timeout_ms=COUNT_PATIENCE * settings.counter_timeout_ms)
+def parse(raw: Mapping[str, object]) -> Configuration:
+    """Convert the JSON object of the file to a `Configuration`.
+
+    Raises:
+        ConfigurationError: No gateway can be started with it; the text names the key.
+    """
+    pairs = flatten(_parse_object(raw, "settings"))
+    settings = _parse_settings(pairs)
     counter = raw.get("counter")
     if settings.counter_enabled and not counter:
         raise ConfigurationError("counter: is missing, though the settings allow calls")
-    try:
-        known = parse_endpoint_list(raw["known"]) if raw.get("known") else EndpointList(0, True, (), {})
-    except ValueError as error:
-        raise ConfigurationError(f"known: {error}") from None
+    cached_endpoints = _parse_cached_endpoints(raw)
+    listen = parse_address(raw, "listen")
+    discovery = parse_address(raw, "discovery")
+    counter_address = parse_address(raw, "counter") if counter else None
+    seed = _parse_seed(raw)
+    max_descriptors = _parse_max_descriptors(raw)
+    transport = _parse_transport_settings(pairs)
     return Configuration(
         name=str(raw.get("name", "")),
-        listen=address(raw, "listen"),
-        discovery=address(raw, "discovery"),
-        counter=address(raw, "counter") if counter else None,
-        seed=_seed(raw),
-        sockets=_sockets(raw),
+        listen=listen,
+        discovery=discovery,
+        counter=counter_address,
+        seed=seed,
+        max_descriptors=max_descriptors,
         settings=settings,
-        known=known,
-        dial_ms=_positive(pairs, "bounds.dial_timeout_ms", 250.0),
-        idle_ms=_positive(pairs, "bounds.conn_idle_ms", 15000.0),
-        ask_within_ms=_positive(pairs, "rules.must_ask_in_ms", 10000.0),
+        cached_endpoints=cached_endpoints,
+        connect_timeout_ms=transport.connect_timeout_ms,
+        idle_timeout_ms=transport.idle_timeout_ms,
+        max_poll_interval_ms=transport.max_poll_interval_ms,
     )
 
 
-def address(raw: Mapping[str, object], field: str) -> Address:
-    """A field of the form HOST:PORT."""
-    host, colon, port = str(raw.get(field, "")).rpartition(":")
+def parse_address(raw: Mapping[str, object], key: str) -> Address:
+    """Convert the value of a key in the form HOST:PORT.
+
+    Raises:
+        ConfigurationError: The value does not have this form.
+    """
+    host, colon, port = str(raw.get(key, "")).rpartition(":")
     if not colon or not host or not (port.isascii() and port.isdigit() and int(port) < 65536):
-        raise ConfigurationError(f"{field}: {raw.get(field)!r} is not HOST:PORT")
+        raise ConfigurationError(f"{key}: {raw.get(key)!r} is not HOST:PORT")
     return host.strip("[]"), int(port)
 
 
-def client_sockets(sockets: int) -> int:
-    """How many of the descriptors clients may hold."""
-    return int(CLIENT_SHARE * sockets)
+def max_downstream_connections(max_descriptors: int) -> int:
+    """Return how many of the descriptors connections of clients may hold."""
+    return int(DOWNSTREAM_SHARE * max_descriptors)
 
 
-def upstream_sockets(sockets: int) -> int:
-    """How many connections to hosts may hold: discovery and the counter always find a descriptor."""
-    return min(int(UPSTREAM_SHARE * sockets), sockets - client_sockets(sockets) - OWN_SOCKETS)
+def max_upstream_connections(max_descriptors: int) -> int:
+    """Return how many of the descriptors connections to endpoints may hold.
 
+    Connections to discovery and the counter always find a descriptor beside them.
+    """
+    unreserved = max_descriptors - max_downstream_connections(max_descriptors) - RESERVED_DESCRIPTORS
+    return min(int(UPSTREAM_SHARE * max_descriptors), unreserved)
 
-def _object(raw: Mapping[str, object], field: str) -> dict[str, object]:
-    value = raw.get(field)
+
+def _read_json_object(path: str) -> dict[str, object]:
+    try:
+        raw = json.loads(Path(path).read_text(encoding="utf-8"))
+    except (OSError, ValueError) as error:
+        raise ConfigurationError(f"{CONFIGURATION_VARIABLE}: cannot be read: {error}") from None
+    if not isinstance(raw, dict):
+        raise ConfigurationError(f"{CONFIGURATION_VARIABLE}: must hold a JSON object")
+    return raw
+
+
+def _parse_object(raw: Mapping[str, object], key: str) -> dict[str, object]:
+    value = raw.get(key)
     if not isinstance(value, dict):
-        raise ConfigurationError(f"{field}: must be an object")
+        raise ConfigurationError(f"{key}: must be an object")
     return value
 
 
-def _flatten(path: str, value: object) -> Iterator[tuple[str, str]]:
-    """Nested settings as the path=value pairs of the simulator's wire."""
-    if isinstance(value, dict):
-        for key, item in value.items():
-            yield from _flatten(f"{path}.{key}" if path else str(key), item)
-    elif isinstance(value, list):
-        if any(isinstance(item, dict) for item in value):
-            yield f"{path}.count", str(len(value))
-            for i, item in enumerate(value):
-                yield from _flatten(f"{path}.{i}", item)
-        else:
-            yield path, ",".join(map(str, value))
-    elif isinstance(value, bool):
-        yield path, "true" if value else "false"
-    elif value is not None:
-        yield path, str(value)
-
-
-def _settings(pairs: dict[str, str]) -> Settings:
+def _parse_settings(pairs: Mapping[str, str]) -> Settings:
     try:
-        settings = wire.settings([f"{key}={value}" for key, value in pairs.items()])
-        settings.check()
-    except ValueError as error:
+        settings = decode_settings(pairs)
+        check_settings(settings)
+    except SettingError as error:
         raise ConfigurationError(f"settings: {error}") from None
-    return settings
+    return replace(settings, counter_timeout_ms=COUNTER_TIMEOUT_FACTOR * settings.counter_timeout_ms)
 
 
-def _positive(pairs: dict[str, str], key: str, default: float) -> float:
+def _parse_transport_settings(pairs: Mapping[str, str]) -> TransportSettings:
     try:
-        value = wire.number(pairs[key]) if key in pairs else default
+        return decode_transport_settings(pairs)
+    except SettingError as error:
+        raise ConfigurationError(f"settings: {error}") from None
+
+
+def _parse_cached_endpoints(raw: Mapping[str, object]) -> EndpointList:
+    if not raw.get("known"):
+        return EndpointList(0, True, (), {})
+    try:
+        return parse_endpoint_list(raw["known"])
     except ValueError as error:
-        raise ConfigurationError(f"settings: {key}: {error}") from None
-    if value <= 0:
-        raise ConfigurationError(f"settings: {key}: must be above 0")
-    return value
+        raise ConfigurationError(f"known: {error}") from None
 
 
-def _seed(raw: Mapping[str, object]) -> int:
+def _parse_seed(raw: Mapping[str, object]) -> int:
     try:
         return int(str(raw.get("seed", "")), 16)
     except ValueError:
         raise ConfigurationError(f"seed: {raw.get('seed')!r} is not a hex number") from None
 
 
-def _sockets(raw: Mapping[str, object]) -> int:
+def _parse_max_descriptors(raw: Mapping[str, object]) -> int:
     limits = raw.get("limits") or {}
-    value = limits.get("sockets", DEFAULT_SOCKETS) if isinstance(limits, dict) else None
-    if not isinstance(value, int) or value < LEAST_SOCKETS:
-        raise ConfigurationError(f"limits.sockets: must be a whole number of {LEAST_SOCKETS} or more")
-    allowed = resource.getrlimit(resource.RLIMIT_NOFILE)[0]  # the system's own limit may be lower
-    if allowed != resource.RLIM_INFINITY and allowed < LEAST_SOCKETS:
+    value = limits.get("sockets", DEFAULT_DESCRIPTORS) if isinstance(limits, dict) else None
+    if not isinstance(value, int) or value < MIN_DESCRIPTORS:
+        raise ConfigurationError(f"limits.sockets: must be a whole number of {MIN_DESCRIPTORS} or more")
+    system_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    if system_limit == resource.RLIM_INFINITY:
+        return value
+    if system_limit < MIN_DESCRIPTORS:
         raise ConfigurationError(
-            f"limits.sockets: the system allows {allowed} descriptors, {LEAST_SOCKETS} are needed"
+            f"limits.sockets: the system allows {system_limit} descriptors, {MIN_DESCRIPTORS} are needed"
         )
-    return value if allowed == resource.RLIM_INFINITY else min(value, allowed)
+    return min(value, system_limit)
--- a/api_gateway/network/dispatcher.py
+++ b/api_gateway/network/dispatcher.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from api_gateway.configuration import Configuration, upstream_sockets
+from api_gateway.configuration import Configuration, max_upstream_connections
 from api_gateway.decisions.gateway import Gateway
 from api_gateway.model.actions import (
     Action,
@@ -70,7 +70,9 @@
     """
     if not config.settings.discovery_by_polling:
         return 0.0
-    return min(LIST_CALL_S * config.settings.fleet_size, ASK_SHARE * config.ask_within_ms / 1000, ROUND_S)
+    return min(
+        LIST_CALL_S * config.settings.fleet_size, ASK_SHARE * config.max_poll_interval_ms / 1000, ROUND_S
+    )
 
 
 class Client(Protocol):
@@ -131,9 +133,14 @@
         self._clock = Clock()
         self._gateway = Gateway(config.settings, config.seed)
         self._hosts = hosts(
-            loop, upstream_sockets(config.sockets), config.dial_ms, config.idle_ms, self._ended, self._wanted
+            loop,
+            max_upstream_connections(config.max_descriptors),
+            config.connect_timeout_ms,
+            config.idle_timeout_ms,
+            self._ended,
+            self._wanted,
         )
-        known = config.known.generation if config.known.endpoints else None
+        known = config.cached_endpoints.generation if config.cached_endpoints.endpoints else None
         # A generator of its own for the network's jitter: the module's draws stay a function of its events.
         self._discovery = DiscoveryWatch(
             loop, config.discovery, self._listed, random.Random(config.seed ^ 1), known, list_spread_s(config)
@@ -143,7 +150,7 @@
             if config.counter is not None
             else None
         )
-        self._known = config.known
+        self._known = config.cached_endpoints
         self._requests: dict[str, _Open] = {}
         self._wire_ids: set[bytes] = set()  # of the requests that are open or have an attempt out
         self._serial = 0
--- a/api_gateway/network/downstream/listener.py
+++ b/api_gateway/network/downstream/listener.py
@@ -14,7 +14,7 @@
 
 import httptools
 
-from api_gateway.configuration import client_sockets
+from api_gateway.configuration import max_downstream_connections
 from api_gateway.model.settings import Idempotency, RequestClass, Settings
 from api_gateway.network.dispatcher import Dispatcher, InboundRequest
 from api_gateway.network.response_parser import LONGEST_BODY
@@ -445,7 +445,7 @@
         # Owed nothing, the longest first: those that have had an answer, and those still to be heard.
         self._kept: dict[DownstreamConnection, None] = {}
         self._unheard: dict[DownstreamConnection, None] = {}
-        self._most = client_sockets(sockets)
+        self._most = max_downstream_connections(sockets)
         self._socket: socket.socket | None = None
         self._accepting = False
         self._pending: set[asyncio.Task] = set()
--- /dev/null
+++ b/api_gateway/settings_codec.py
@@ -0,0 +1,310 @@
+"""Translation of the settings object, as operators write it, into `Settings`.
+
+The same keys arrive in two forms: nested JSON in the configuration file, and `path=value` pairs in the first
+message of the simulator. Both become a mapping of paths to texts, such as `grades.0.objective_ms` to `250`,
+which the tables below translate. The names of the keys stand nowhere else.
+"""
+
+from __future__ import annotations
+
+import math
+import re
+from collections.abc import Callable, Iterator, Mapping
+from dataclasses import dataclass
+from typing import Any, TypeVar
+
+from api_gateway.errors import InvalidSettingError, MalformedSettingError
+from api_gateway.model.settings import Idempotency, KeyScope, Plan, RequestClass, Settings
+
+Entry = TypeVar("Entry")
+
+
+@dataclass(slots=True, frozen=True)
+class SettingKey:
+    """One row of a translation table.
+
+    Attributes:
+        key: The key as operators write it.
+        field: The field of the model that it sets.
+        read: Converts the text of the value; raises ValueError where the form is wrong.
+        default: The value of the field where the key is missing.
+    """
+
+    key: str
+    field: str
+    read: Callable[[str], Any]
+    default: Any
+
+
+@dataclass(slots=True, frozen=True)
+class TransportSettings:
+    """Settings that concern connections alone, and not the decisions.
+
+    Attributes:
+        connect_timeout_ms: Time within which a connection to an endpoint must be established.
+        idle_timeout_ms: Time after which endpoints close an idle connection.
+        max_poll_interval_ms: A gateway must ask discovery at least this often where it is polled.
+    """
+
+    connect_timeout_ms: float
+    idle_timeout_ms: float
+    max_poll_interval_ms: float
+
+
+class _UnknownWordError(ValueError):
+    """A text that is not in the table of words of its key."""
+
+
+def parse_number(text: str) -> float:
+    """Convert a text to a finite number; `-` stands for an absent value and gives 0.
+
+    Raises:
+        ValueError: The text is not a finite number.
+    """
+    if text == "-":
+        return 0.0
+    try:
+        value = float(text)
+    except ValueError:
+        value = math.nan
+    if not math.isfinite(value):
+        raise ValueError(f"bad number {text!r}")
+    return value
+
+
+def _whole_number(text: str) -> int:
+    return int(parse_number(text))
+
+
+def _limit(text: str) -> float:
+    return parse_number(text) or math.inf
+
+
+def _flag(text: str) -> bool:
+    return text in ("true", "1")
+
+
+def _is_polled(text: str) -> bool:
+    return text == "on_request"
+
+
+def _one_of(words: Mapping[str, Any], allowed: str) -> Callable[[str], Any]:
+    def read(text: str) -> Any:
+        if text not in words:
+            raise _UnknownWordError(f"{text!r} is not {allowed}")
+        return words[text]
+
+    return read
+
+
+IDEMPOTENCY_WORDS = {
+    "safe": Idempotency.IDEMPOTENT,
+    "keyed": Idempotency.WITH_KEY,
+    "unsafe": Idempotency.NOT_IDEMPOTENT,
+}
+KEY_SCOPE_WORDS = {"all": KeyScope.ALL, "zone": KeyScope.ZONE, "cell": KeyScope.FAILURE_DOMAIN}
+
+CLASSES_KEY = "grades"
+CLASS_KEYS = (
+    SettingKey("name", "name", str, ""),
+    SettingKey("objective_ms", "latency_objective_ms", parse_number, 0.0),
+    SettingKey("deadline_ms", "deadline_ms", parse_number, 0.0),
+    SettingKey("worth", "priority_weight", parse_number, 1.0),
+    SettingKey("late_worth", "late_priority_weight", parse_number, 0.0),
+    SettingKey(
+        "effect",
+        "idempotency",
+        _one_of(IDEMPOTENCY_WORDS, "safe, keyed or unsafe"),
+        Idempotency.IDEMPOTENT,
+    ),
+    SettingKey(
+        "key_scope",
+        "idempotency_key_scope",
+        _one_of(KEY_SCOPE_WORDS, "all, zone or cell"),
+        KeyScope.ALL,
+    ),
+    SettingKey("window_ms", "idempotency_window_ms", parse_number, 0.0),
+    SettingKey("stream", "streamed", _flag, False),
+)
+
+PLANS_KEY = "packages"
+PLAN_KEYS = (
+    SettingKey("name", "name", str, ""),
+    SettingKey("refill", "quota_rate", parse_number, 0.0),
+    SettingKey("burst", "quota_burst", parse_number, 0.0),
+    SettingKey("worth_factor", "priority_weight", parse_number, 1.0),
+    SettingKey("over_worth", "over_quota_weight", parse_number, 0.0),
+    SettingKey("over_cost", "over_quota_cost", parse_number, 0.0),
+    SettingKey("ceiling_rate", "ceiling_rate", parse_number, 0.0),
+    SettingKey("hard_burst", "ceiling_burst", parse_number, 0.0),
+    SettingKey("tolerance", "ceiling_tolerance", parse_number, 0.0),
+    SettingKey("parallel", "max_concurrent_requests", _whole_number, 0),
+)
+
+GATEWAY_KEYS = (
+    SettingKey("me", "gateway_index", _whole_number, 0),
+    SettingKey("fleet_size", "fleet_size", _whole_number, 1),
+    SettingKey("zone", "zone", str, ""),
+    SettingKey("bounds.try_limit", "max_attempts", _whole_number, 1),
+    SettingKey("bounds.second_copies", "hedging_allowed", _flag, False),
+    SettingKey("bounds.cancel", "cancellation_supported", _flag, False),
+    SettingKey("bounds.max_retry_after_ms", "max_retry_after_ms", parse_number, 0.0),
+    SettingKey("bounds.probing", "health_checks_allowed", _flag, False),
+    SettingKey("bounds.peers", "gossip_allowed", _flag, False),
+    SettingKey("membership_mode", "discovery_by_polling", _is_polled, False),
+    SettingKey("family_info.may_count", "counter_enabled", _flag, False),
+    SettingKey("family_info.count_wait_ms", "counter_timeout_ms", parse_number, 50.0),
+    SettingKey("family_info.most_units", "max_request_units", _limit, math.inf),
+    SettingKey("family_info.trued_up", "actual_units_reported", _flag, False),
+    SettingKey("family_info.use_period_ms", "usage_report_period_ms", parse_number, 0.0),
+    SettingKey("bounds.conn_idle_ms", "idle_connection_timeout_ms", parse_number, 30000.0),
+    SettingKey("tick_ms", "clock_tick_ms", parse_number, 1.0),
+    SettingKey("rules.answer_slack_ms", "response_slack_ms", parse_number, 0.0),
+    SettingKey("rules.stop_sending_within_ms", "drain_grace_ms", parse_number, 0.0),
+    SettingKey("rules.cold_from", "slow_start_min_weight", parse_number, 1.0),
+    SettingKey("rules.cold_ms", "slow_start_ms", parse_number, 0.0),
+    SettingKey("rules.fall_multiple", "overload_multiple", parse_number, 1.0),
+    SettingKey("rules.tip_after_ms", "overload_window_ms", parse_number, 0.0),
+)
+
+TRANSPORT_KEYS = (
+    SettingKey("bounds.dial_timeout_ms", "connect_timeout_ms", parse_number, 250.0),
+    SettingKey("bounds.conn_idle_ms", "idle_timeout_ms", parse_number, 15000.0),
+    SettingKey("rules.must_ask_in_ms", "max_poll_interval_ms", parse_number, 10000.0),
+)
+
+# Model group: key of the group, keys of its entries.
+_GROUPS = {
+    "classes": (CLASSES_KEY, CLASS_KEYS),
+    "plans": (PLANS_KEY, PLAN_KEYS),
+}
+_FIELD_PATH = re.compile(r"(?P<group>classes|plans)(?:\[(?P<name>.*)\]\.(?P<fields>[a-z_, ]+))?")
+
+
+def flatten(settings: Mapping[str, object]) -> dict[str, str]:
+    """Convert a nested settings object to paths and the texts of their values.
+
+    A list of objects gives `path.count`, `path.0.key`, `path.1.key`..., another list one text with commas.
+    """
+    return dict(_flatten_value("", settings))
+
+
+def _flatten_value(path: str, value: object) -> Iterator[tuple[str, str]]:
+    if isinstance(value, dict):
+        for key, item in value.items():
+            yield from _flatten_value(f"{path}.{key}" if path else str(key), item)
+    elif isinstance(value, list):
+        yield from _flatten_list(path, value)
+    elif isinstance(value, bool):
+        yield path, "true" if value else "false"
+    elif value is not None:
+        yield path, str(value)
+
+
+def _flatten_list(path: str, items: list[object]) -> Iterator[tuple[str, str]]:
+    if not any(isinstance(item, dict) for item in items):
+        yield path, ",".join(map(str, items))
+        return
+    yield f"{path}.count", str(len(items))
+    for index, item in enumerate(items):
+        yield from _flatten_value(f"{path}.{index}", item)
+
+
+def decode_settings(pairs: Mapping[str, str]) -> Settings:
+    """Convert paths and texts to `Settings`, without checking that they make sense together.
+
+    Args:
+        pairs: Texts of values by path; unknown paths are ignored.
+
+    Raises:
+        MalformedSettingError: A value does not have the form of its type.
+        InvalidSettingError: A word is not one of those that its key allows.
+    """
+    return Settings(
+        classes=_decode_group(pairs, "classes", RequestClass),
+        plans=_decode_group(pairs, "plans", Plan),
+        **_decode_keys(pairs, GATEWAY_KEYS),
+    )
+
+
+def decode_transport_settings(pairs: Mapping[str, str]) -> TransportSettings:
+    """Convert paths and texts to `TransportSettings`.
+
+    Raises:
+        MalformedSettingError: A value is not a number.
+        InvalidSettingError: A value is not above 0.
+    """
+    values: dict[str, Any] = {}
+    for setting in TRANSPORT_KEYS:
+        values |= _decode_keys(pairs, (setting,))
+        if values[setting.field] <= 0:
+            raise InvalidSettingError(setting.key, "must be above 0", setting.field)
+    return TransportSettings(**values)
+
+
+def check_settings(settings: Settings) -> None:
+    """Check that settings make sense, and name what does not by its key.
+
+    Raises:
+        InvalidSettingError: A value is out of its range.
+    """
+    try:
+        settings.check()
+    except ValueError as error:
+        field, _, problem = str(error).rpartition(": ")
+        raise InvalidSettingError(configured_key(field), problem, field) from None
+
+
+def configured_key(field: str) -> str:
+    """Convert the path of a model field to the key that sets it.
+
+    Args:
+        field: Such as `classes[read].latency_objective_ms, deadline_ms`, `classes` or `clock_tick_ms`.
+    """
+    match = _FIELD_PATH.fullmatch(field)
+    if match is None:
+        return _key_of(GATEWAY_KEYS, field)
+    group_key, keys = _GROUPS[match["group"]]
+    if match["fields"] is None:
+        return group_key
+    names = ", ".join(_key_of(keys, name) for name in match["fields"].split(", "))
+    return f"{group_key}[{match['name']}].{names}"
+
+
+def _key_of(keys: tuple[SettingKey, ...], field: str) -> str:
+    return next((setting.key for setting in keys if setting.field == field), field)
+
+
+def _decode_group(
+    pairs: Mapping[str, str], group: str, entry_type: Callable[..., Entry]
+) -> tuple[Entry, ...]:
+    group_key, keys = _GROUPS[group]
+    count = SettingKey(f"{group_key}.count", "count", _whole_number, 0)
+    size = _decode_keys(pairs, (count,))["count"]
+    return tuple(entry_type(**_decode_entry(pairs, group, index, keys)) for index in range(size))
+
+
+def _decode_entry(
+    pairs: Mapping[str, str], group: str, index: int, keys: tuple[SettingKey, ...]
+) -> dict[str, Any]:
+    group_key, _ = _GROUPS[group]
+    prefix = f"{group_key}.{index}."
+    try:
+        return _decode_keys(pairs, keys, prefix)
+    except InvalidSettingError as error:
+        entry = f"[{pairs.get(prefix + 'name', '')}].{error.key.removeprefix(prefix)}"
+        raise InvalidSettingError(group_key + entry, error.problem, group + entry) from None
+
+
+def _decode_keys(pairs: Mapping[str, str], keys: tuple[SettingKey, ...], prefix: str = "") -> dict[str, Any]:
+    values: dict[str, Any] = {}
+    for setting in keys:
+        key = prefix + setting.key
+        text = pairs.get(key)
+        try:
+            values[setting.field] = setting.default if text is None else setting.read(text)
+        except _UnknownWordError as error:
+            raise InvalidSettingError(key, str(error), setting.field) from None
+        except ValueError as error:
+            raise MalformedSettingError(key, str(error)) from None
+    return values
--- a/api_gateway/simulator/__init__.py
+++ b/api_gateway/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions behind the simulator's wire protocol on standard input and output."""
+"""Gateways behind the simulator's wire on standard input and output."""
--- a/api_gateway/simulator/__main__.py
+++ b/api_gateway/simulator/__main__.py
@@ -4,4 +4,5 @@
 
 from api_gateway.simulator.adapter import main
 
-sys.exit(main())
+if __name__ == "__main__":
+    sys.exit(main())
--- /dev/null
+++ b/api_gateway/simulator/action_codec.py
@@ -0,0 +1,79 @@
+"""Actions of a gateway as lines of the simulator's wire."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from api_gateway.model.actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    IncrementCounter,
+    RejectRequest,
+    StartAttempt,
+    StartTimer,
+    SubscribeToEndpoints,
+    WriteLog,
+)
+
+
+def _encode_start_attempt(instance: str, action: StartAttempt) -> str:
+    return f"DELIVER {instance} {action.request_id} {action.timeout_ms:.3f} {action.endpoint}"
+
+
+def _encode_reject_request(instance: str, action: RejectRequest) -> str:
+    return f"REFUSE {instance} {action.request_id} {action.retry_after_ms:.3f}"
+
+
+def _encode_fail_request(instance: str, action: FailRequest) -> str:
+    return f"GIVE_UP {instance} {action.request_id}"
+
+
+def _encode_cancel_attempt(instance: str, action: CancelAttempt) -> str:
+    return f"UNDO_SEND {instance} {action.request_id} {action.attempt}"
+
+
+def _encode_start_timer(instance: str, action: StartTimer) -> str:
+    return f"AFTER {instance} {action.delay_ms:.3f} {action.name}"
+
+
+def _encode_increment_counter(instance: str, action: IncrementCounter) -> str:
+    return f"ADD {instance} {action.name} {action.amount:g} {action.ttl_ms:.3f}"
+
+
+def _encode_subscribe(instance: str, action: SubscribeToEndpoints) -> str:
+    return f"OBSERVE {instance} 1"
+
+
+def _encode_write_log(instance: str, action: WriteLog) -> str:
+    return f"NOTE_DOWN {instance} {' '.join(action.text.split())}"
+
+
+WRITERS: dict[type, Callable[[str, Any], str]] = {
+    StartAttempt: _encode_start_attempt,
+    RejectRequest: _encode_reject_request,
+    FailRequest: _encode_fail_request,
+    CancelAttempt: _encode_cancel_attempt,
+    StartTimer: _encode_start_timer,
+    IncrementCounter: _encode_increment_counter,
+    SubscribeToEndpoints: _encode_subscribe,
+    WriteLog: _encode_write_log,
+}
+
+
+def encode_action(instance: str, action: Action) -> str:
+    """Convert an action of an instance to a line.
+
+    Raises:
+        TypeError: The object is not an action.
+    """
+    writer = WRITERS.get(type(action))
+    if writer is None:
+        raise TypeError(f"not an action: {action!r}")
+    return writer(instance, action)
+
+
+def encode_failure(instance: str, error_name: str, text: str) -> str:
+    """Return the line that reports a failure of one instance."""
+    return f"BROKEN {instance} {error_name}: {text}"
--- a/api_gateway/simulator/adapter.py
+++ b/api_gateway/simulator/adapter.py
@@ -1,4 +1,8 @@
-"""The adapter: hosts gateways behind the wire on standard input and output. Translation only."""
+"""Runs gateways behind the simulator's wire on standard input and output.
+
+The simulator sends batches of events, each batch at one moment of its clock, and receives the actions of all
+instances and `OK` after each batch.
+"""
 
 from __future__ import annotations
 
@@ -7,121 +11,128 @@
 from typing import TextIO
 
 from api_gateway.decisions.gateway import Gateway
-from api_gateway.model.endpoints import Endpoint, UpdateKind
-from api_gateway.model.events import EndpointUpdate
-from api_gateway.simulator import codec as wire
+from api_gateway.errors import InvalidSettingError, MalformedLineError
+from api_gateway.model.endpoints import Endpoint
+from api_gateway.model.events import EndpointUpdate, Event
+from api_gateway.simulator import codec
+from api_gateway.simulator.action_codec import encode_action, encode_failure
+
+BATCH_END = ["END"]
+BATCH_REPLY_END = "OK"
+CATALOG = "CATALOG"
+
+EXIT_OK = 0
+EXIT_OUTPUT_CLOSED = 1
+EXIT_MALFORMED_INPUT = 2
+
+
+class SimulatorAdapter:
+    """Reads batches of events, passes each event to its instance, and writes the actions.
 
+    Attributes:
+        line_number: Number of the line that was read last, from 1.
+    """
 
-class Host:
-    """Reads batches, hands each event to its instance and writes the replies."""
+    def __init__(self, lines: Iterable[str], output: TextIO) -> None:
+        self.line_number = 0
+        self._lines: Iterator[str] = iter(lines)
+        self._output = output
+        self._gateways: dict[str, Gateway] = {}
+        self._catalogs: dict[int, tuple[Endpoint, ...]] = {}
 
-    def __init__(self, lines: Iterable[str], out: TextIO) -> None:
-        self.lines: Iterator[str] = iter(lines)
-        self.out = out
-        self.line_no = 0
-        self.gateways: dict[str, Gateway] = {}
-        self.catalogs: dict[int, tuple[Endpoint, ...]] = {}
+    def run(self) -> None:
+        """Answer batches until the input ends between two of them.
 
-    def read(self) -> list[str] | None:
-        """The next line's parts; None at the end of input."""
-        line = next(self.lines, None)
+        Raises:
+            MalformedLineError: A line does not follow the format, or the input ends within a batch.
+        """
+        while (parts := self._read_line()) is not None:
+            if parts == [""]:
+                continue
+            reply = self._handle_batch(codec.decode_batch_header(parts))
+            self._output.write("".join(line + "\n" for line in reply))
+            self._output.flush()
+
+    def _read_line(self) -> list[str] | None:
+        line = next(self._lines, None)
         if line is None:
             return None
-        self.line_no += 1
+        self.line_number += 1
         if not line.endswith("\n"):
-            raise wire.WireError("truncated line")
+            raise MalformedLineError("truncated line")
         return line.rstrip("\r\n").split(" ")
 
-    def run(self) -> None:
-        """Answer batches until the input ends between two of them."""
-        while (parts := self.read()) is not None:
-            if parts == [""]:
-                continue
-            if parts[0] != "BATCH" or len(parts) != 2:
-                raise wire.WireError("expected BATCH and the clock")
-            reply = self.batch(wire.number(parts[1]))
-            self.out.write("".join(line + "\n" for line in reply))
-            self.out.flush()
-
-    def batch(self, now_ms: float) -> list[str]:
-        """The reply to one batch, whole."""
+    def _handle_batch(self, now_ms: float) -> list[str]:
         reply: list[str] = []
-        while True:
-            parts = self.read()
+        while (parts := self._read_line()) != BATCH_END:
             if parts is None:
-                raise wire.WireError("input ended inside a batch")
-            if parts == ["END"]:
-                return [*reply, "OK"]
-            if parts[0] == "CATALOG":
-                self.catalog(parts)
-                continue
-            if parts[0] == "DIRECTORY_UPDATE":
-                event: object = self.server_list(parts)
+                raise MalformedLineError("input ended inside a batch")
+            if parts[0] == CATALOG:
+                self._read_catalog(codec.decode_catalog_header(parts))
             else:
-                try:
-                    event = wire.event(parts)
-                except wire.SettingsError as error:
-                    reply.append(f"BROKEN {parts[1]} ValueError: {error}")
-                    continue
-            reply.extend(self.deliver(now_ms, parts[1], event))
-
-    def catalog(self, parts: list[str]) -> None:
-        """A numbered list of servers, used by the events that follow."""
-        if len(parts) != 3:
-            raise wire.WireError("CATALOG: wrong number of values")
-        number, count = wire.integer(parts[1]), wire.integer(parts[2])
-        servers = []
-        for _ in range(count):
-            entry = self.read()
-            if entry is None:
-                raise wire.WireError("input ended inside a list")
-            servers.append(wire.endpoint(entry))
-        self.catalogs[number] = tuple(servers)
-
-    def server_list(self, parts: list[str]) -> EndpointUpdate:
-        """A list event with the entries it refers to."""
-        if len(parts) != 5:
-            raise wire.WireError("DIRECTORY_UPDATE: wrong number of values")
-        kind = wire.one_of(wire.LIST_KINDS, parts[2])
-        wire.integer(parts[3])
-        if kind is UpdateKind.FAILED:
-            return EndpointUpdate(kind)
-        number = wire.integer(parts[4])
-        if number not in self.catalogs:
-            raise wire.WireError(f"no list number {number}")
-        return EndpointUpdate(kind, self.catalogs[number])
-
-    def deliver(self, now_ms: float, instance: str, event: object) -> list[str]:
-        """Hand one event to its instance; a failure of the module is reported for that instance."""
+                reply.extend(self._handle_message(now_ms, parts))
+        return [*reply, BATCH_REPLY_END]
+
+    def _read_catalog(self, header: codec.CatalogHeader) -> None:
+        endpoints = []
+        for _ in range(header.size):
+            parts = self._read_line()
+            if parts is None:
+                raise MalformedLineError("input ended inside a list")
+            endpoints.append(codec.decode_endpoint(parts))
+        self._catalogs[header.number] = tuple(endpoints)
+
+    def _handle_message(self, now_ms: float, parts: list[str]) -> list[str]:
+        try:
+            message = codec.decode_message(parts)
+        except InvalidSettingError as error:
+            return [encode_failure(parts[1], ValueError.__name__, f"{error.field}: {error.problem}")]
+        if isinstance(message, codec.CatalogUpdate):
+            message = self._resolve(message)
+        instance = parts[1]
         try:
-            if isinstance(event, wire.Open):
-                self.gateways[instance] = Gateway(event.settings, event.seed)
-                return []
-            if isinstance(event, wire.Close):
-                self.gateways.pop(instance, None)
-                return []
-            gateway = self.gateways.get(instance)
-            if gateway is None:
-                return []
-            return [wire.action(instance, act) for act in gateway.handle(now_ms, event)]
-        except Exception as error:  # the module broke: say so on the wire
-            return [f"BROKEN {instance} {type(error).__name__}: {' '.join(str(error).split())}"]
+            return self._deliver(now_ms, instance, message)
+        except Exception as error:  # any failure of the decisions concerns this instance alone
+            text = " ".join(str(error).split())
+            return [encode_failure(instance, type(error).__name__, text)]
+
+    def _resolve(self, update: codec.CatalogUpdate) -> EndpointUpdate:
+        if update.catalog is None:
+            return EndpointUpdate(update.kind)
+        if update.catalog not in self._catalogs:
+            raise MalformedLineError(f"no list number {update.catalog}")
+        return EndpointUpdate(update.kind, self._catalogs[update.catalog])
+
+    def _deliver(
+        self, now_ms: float, instance: str, message: Event | codec.OpenInstance | codec.CloseInstance
+    ) -> list[str]:
+        if isinstance(message, codec.OpenInstance):
+            self._gateways[instance] = Gateway(message.settings, message.seed)
+            return []
+        if isinstance(message, codec.CloseInstance):
+            self._gateways.pop(instance, None)
+            return []
+        gateway = self._gateways.get(instance)
+        if gateway is None:
+            return []
+        return [encode_action(instance, action) for action in gateway.handle(now_ms, message)]
 
 
 def main() -> int:
-    """Serve standard input; 0 at its end, 2 with one plain line on a malformed message."""
+    """Serve standard input until it ends.
+
+    Returns:
+        The exit status: 0 at the end of the input, 2 after a malformed line (with one line on standard
+        error), 1 if standard output was closed.
+    """
     sys.stdin.reconfigure(encoding="utf-8", newline="\n")
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")
-    host = Host(sys.stdin, sys.stdout)
+    adapter = SimulatorAdapter(sys.stdin, sys.stdout)
     try:
-        host.run()
-    except (wire.WireError, UnicodeDecodeError) as error:
-        print(f"line {host.line_no}: {error}", file=sys.stderr)
-        return 2
+        adapter.run()
+    except (MalformedLineError, UnicodeDecodeError) as error:
+        print(f"line {adapter.line_number}: {error}", file=sys.stderr)
+        return EXIT_MALFORMED_INPUT
     except BrokenPipeError:
-        return 1
-    return 0
-
-
-if __name__ == "__main__":
-    sys.exit(main())
+        return EXIT_OUTPUT_CLOSED
+    return EXIT_OK
--- a/api_gateway/simulator/codec.py
+++ b/api_gateway/simulator/codec.py
@@ -1,338 +1,276 @@
-"""The codec of the wire: lines to events, actions to lines. Translation only."""
+"""Lines of the simulator's wire as messages: events of a gateway, its start and end, and endpoint lists.
+
+A line consists of parts separated by single spaces: the name of the message, the instance that it concerns,
+and its values. `-` stands for an absent value.
+"""
 
 from __future__ import annotations
 
-import math
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TypeVar
-
-from api_gateway.model.actions import (
-    Action,
-    CancelAttempt,
-    FailRequest,
-    IncrementCounter,
-    RejectRequest,
-    StartAttempt,
-    StartTimer,
-    SubscribeToEndpoints,
-    WriteLog,
-)
-from api_gateway.model.endpoints import Endpoint, EndpointStatus, UpdateKind
+
+from api_gateway.errors import MalformedLineError, MalformedSettingError
+from api_gateway.model.endpoints import Endpoint, UpdateKind
 from api_gateway.model.events import (
     AttemptEnded,
     ClientDisconnected,
     CounterReply,
+    Event,
     GossipReceived,
     HealthCheckEnded,
     RequestReceived,
     ResponseStarted,
     TimerFired,
 )
-from api_gateway.model.results import AttemptResult, CounterResult
-from api_gateway.model.settings import Idempotency, KeyScope, Plan, RequestClass, Settings
-
-RESULTS = {
-    "Ok": AttemptResult.OK,
-    "Failed": AttemptResult.ERROR,
-    "QueueFull": AttemptResult.OVERLOADED,
-    "TimedOut": AttemptResult.TIMED_OUT,
-    "ConnectError": AttemptResult.CONNECT_FAILED,
-    "ResetByPeer": AttemptResult.CONNECTION_RESET,
-    "Canceled": AttemptResult.CANCELLED,
-    "Ignored": AttemptResult.NOT_STARTED,
-}
-COUNTER_RESULTS = {
-    "Ok": CounterResult.OK,
-    "Failed": CounterResult.FAILED,
-    "QueueFull": CounterResult.OVERLOADED,
-    "TimedOut": CounterResult.TIMED_OUT,
-    "ConnectError": CounterResult.CONNECT_FAILED,
-    "ResetByPeer": CounterResult.FAILED,
-    "Canceled": CounterResult.FAILED,
-    "Ignored": CounterResult.FAILED,
-}
-LIST_KINDS = {
-    "Partial": UpdateKind.CHANGES,
-    "Complete": UpdateKind.FULL,
-    "Persisted": UpdateKind.CACHED,
-    "Error": UpdateKind.FAILED,
-}
-STATUSES = {
-    "up": EndpointStatus.UP,
-    "draining": EndpointStatus.DRAINING,
-    "removed": EndpointStatus.REMOVED,
-}
-EFFECTS = {
-    "safe": Idempotency.IDEMPOTENT,
-    "keyed": Idempotency.WITH_KEY,
-    "unsafe": Idempotency.NOT_IDEMPOTENT,
-}
-KEY_SCOPES = {"all": KeyScope.ALL, "zone": KeyScope.ZONE, "cell": KeyScope.FAILURE_DOMAIN}
-
-
-Word = TypeVar("Word")
-
-
-class WireError(ValueError):
-    """A line that does not follow the wire's format."""
+from api_gateway.model.settings import Settings
+from api_gateway.settings_codec import decode_settings
+from api_gateway.simulator.values import (
+    ATTEMPT_RESULTS,
+    COUNTER_RESULTS,
+    ENDPOINT_STATUSES,
+    UPDATE_KINDS,
+    decode_flag,
+    decode_integer,
+    decode_load_report,
+    decode_number,
+    decode_word,
+)
 
+RETRY_FLAG = 2  # bit of a request's flags
 
-class SettingsError(ValueError):
-    """A setting whose value is not one of those that it may have."""
 
+@dataclass(slots=True, frozen=True)
+class OpenInstance:
+    """A new instance of the gateway starts.
 
-@dataclass(slots=True)
-class Open:
-    """A new instance with its seed and settings."""
+    Attributes:
+        seed: Seed of its random draws.
+        settings: Its settings.
+    """
 
     seed: int
     settings: Settings
 
 
-@dataclass(slots=True)
-class Close:
-    """The instance was killed."""
+@dataclass(slots=True, frozen=True)
+class CloseInstance:
+    """An instance was killed."""
 
 
-def number(text: str) -> float:
-    """A finite number; '-' is absent and reads as 0."""
-    if text == "-":
-        return 0.0
-    try:
-        value = float(text)
-    except ValueError:
-        raise WireError(f"bad number {text!r}") from None
-    if not math.isfinite(value):
-        raise WireError(f"bad number {text!r}")
-    return value
+@dataclass(slots=True, frozen=True)
+class CatalogUpdate:
+    """An update of the endpoint list that refers to a catalog.
 
+    Attributes:
+        kind: What the update holds.
+        catalog: Number of the catalog with the endpoints; None if the call to discovery failed.
+    """
 
-def integer(text: str) -> int:
-    """A whole number; '-' reads as 0."""
-    if text == "-":
-        return 0
-    try:
-        return int(text)
-    except ValueError:
-        raise WireError(f"bad whole number {text!r}") from None
+    kind: UpdateKind
+    catalog: int | None
 
 
-def flag(text: str) -> bool:
-    """1 or 0."""
-    if text not in ("0", "1", "-"):
-        raise WireError(f"bad truth value {text!r}")
-    return text == "1"
+@dataclass(slots=True, frozen=True)
+class CatalogHeader:
+    """The line before the entries of a catalog.
 
+    Attributes:
+        number: Number by which updates refer to the catalog.
+        size: Count of the lines that follow, one for each endpoint.
+    """
 
-def one_of(table: dict[str, Word], text: str) -> Word:
-    """What a word of a fixed table stands for."""
-    if text not in table:
-        raise WireError(f"unknown word {text!r}")
-    return table[text]
+    number: int
+    size: int
 
 
-def report(text: str) -> dict[str, float]:
-    """A load report: name:value pairs set apart by commas."""
-    values = {}
-    if text != "-":
-        for pair in text.split(","):
-            name, colon, value = pair.partition(":")
-            if not colon:
-                raise WireError(f"bad load report {text!r}")
-            values[name] = number(value)
-    return values
+Message = Event | OpenInstance | CloseInstance | CatalogUpdate
 
 
-def settings(parts: list[str]) -> Settings:
-    """The path=value pairs of an instance's first message; unknown keys are skipped."""
-    pairs: dict[str, str] = {}
-    for part in parts:
-        key, equals, value = part.partition("=")
+# --- Messages with an instance -----------------------------------------------------------------------------
+
+
+def _decode_setting_pairs(pairs: list[str]) -> Settings:
+    texts: dict[str, str] = {}
+    for pair in pairs:
+        key, equals, text = pair.partition("=")
         if not equals:
-            raise WireError(f"bad setting {part!r}")
-        pairs[key] = value
-
-    def num(key: str, default: float = 0.0) -> float:
-        try:
-            return number(pairs[key]) if key in pairs else default
-        except WireError as error:
-            raise WireError(f"{key}: {error}") from None
-
-    def yes(key: str) -> bool:
-        return pairs.get(key, "false") in ("true", "1")
-
-    def word(table: dict[str, Word], path: str, key: str, allowed: str) -> Word:
-        value = pairs.get(f"{path}.{key}", next(iter(table)))
-        if value not in table:
-            name = pairs.get(f"{path}.name", "")
-            raise SettingsError(f"classes[{name}].{key}: {value!r} is not {allowed}")
-        return table[value]
-
-    classes = tuple(
-        RequestClass(
-            name=pairs.get(f"grades.{i}.name", ""),
-            latency_objective_ms=num(f"grades.{i}.objective_ms"),
-            deadline_ms=num(f"grades.{i}.deadline_ms"),
-            priority_weight=num(f"grades.{i}.worth", 1.0),
-            late_priority_weight=num(f"grades.{i}.late_worth"),
-            idempotency=word(EFFECTS, f"grades.{i}", "effect", "safe, keyed or unsafe"),
-            idempotency_key_scope=word(KEY_SCOPES, f"grades.{i}", "key_scope", "all, zone or cell"),
-            idempotency_window_ms=num(f"grades.{i}.window_ms"),
-            streamed=yes(f"grades.{i}.stream"),
-        )
-        for i in range(int(num("grades.count")))
-    )
-    plans = tuple(
-        Plan(
-            name=pairs.get(f"packages.{i}.name", ""),
-            quota_rate=num(f"packages.{i}.refill"),
-            quota_burst=num(f"packages.{i}.burst"),
-            priority_weight=num(f"packages.{i}.worth_factor", 1.0),
-            over_quota_weight=num(f"packages.{i}.over_worth"),
-            over_quota_cost=num(f"packages.{i}.over_cost"),
-            ceiling_rate=num(f"packages.{i}.ceiling_rate"),
-            ceiling_burst=num(f"packages.{i}.hard_burst"),
-            ceiling_tolerance=num(f"packages.{i}.tolerance"),
-            max_concurrent_requests=int(num(f"packages.{i}.parallel")),
-        )
-        for i in range(int(num("packages.count")))
-    )
-    return Settings(
-        classes=classes,
-        plans=plans,
-        gateway_index=int(num("me")),
-        fleet_size=int(num("fleet_size", 1)),
-        zone=pairs.get("zone", ""),
-        max_attempts=int(num("bounds.try_limit", 1)),
-        hedging_allowed=yes("bounds.second_copies"),
-        cancellation_supported=yes("bounds.cancel"),
-        max_retry_after_ms=num("bounds.max_retry_after_ms"),
-        health_checks_allowed=yes("bounds.probing"),
-        gossip_allowed=yes("bounds.peers"),
-        discovery_by_polling=pairs.get("membership_mode", "pushed") == "on_request",
-        counter_enabled=yes("family_info.may_count"),
-        counter_timeout_ms=num("family_info.count_wait_ms", 50.0),
-        max_request_units=num("family_info.most_units") or math.inf,
-        actual_units_reported=yes("family_info.trued_up"),
-        usage_report_period_ms=num("family_info.use_period_ms"),
-        idle_connection_timeout_ms=num("bounds.conn_idle_ms", 30000.0),
-        clock_tick_ms=num("tick_ms", 1.0),
-        response_slack_ms=num("rules.answer_slack_ms"),
-        drain_grace_ms=num("rules.stop_sending_within_ms"),
-        slow_start_min_weight=num("rules.cold_from", 1.0),
-        slow_start_ms=num("rules.cold_ms"),
-        overload_multiple=num("rules.fall_multiple", 1.0),
-        overload_window_ms=num("rules.tip_after_ms"),
-    )
+            raise MalformedLineError(f"bad setting {pair!r}")
+        texts[key] = text
+    try:
+        return decode_settings(texts)
+    except MalformedSettingError as error:
+        raise MalformedLineError(str(error)) from None
 
 
-def endpoint(parts: list[str]) -> Endpoint:
-    """One entry of a list of servers."""
-    if len(parts) != 8 or parts[0] != "M":
-        raise WireError("a list entry needs M and 7 values")
-    if parts[5] not in STATUSES:
-        raise WireError(f"unknown status {parts[5]!r}")
-    return Endpoint(
-        name=parts[1],
-        zone=parts[2],
-        failure_domain=integer(parts[4]),
-        status=STATUSES[parts[5]],
-        weight=number(parts[6]),
-        started_at_ms=number(parts[7]),
-    )
+def _decode_open(values: list[str]) -> OpenInstance:
+    seed, *pairs = values
+    return OpenInstance(decode_integer(seed), _decode_setting_pairs(pairs))
 
 
-def _open(f: list[str]) -> Open:
-    return Open(integer(f[0]), settings(f[1:]))
+def _decode_close(values: list[str]) -> CloseInstance:
+    return CloseInstance()
 
 
-def _request(f: list[str]) -> RequestReceived:
+def _decode_request(values: list[str]) -> RequestReceived:
+    request_id, class_name, plan_name, tenant, time_left, units, gateway_count, first_gateway, flags = values
     return RequestReceived(
-        f[0],
-        f[1],
-        f[2],
-        f[3],
-        number(f[4]),
-        number(f[5]),
-        integer(f[6]),
-        integer(f[7]),
-        bool(integer(f[8]) & 2),
+        request_id=request_id,
+        class_name=class_name,
+        plan_name=plan_name,
+        tenant=tenant,
+        time_left_ms=decode_number(time_left),
+        units=decode_number(units),
+        gateway_count=decode_integer(gateway_count),
+        first_gateway=decode_integer(first_gateway),
+        is_retry=bool(decode_integer(flags) & RETRY_FLAG),
     )
 
 
-def _outcome(f: list[str]) -> AttemptEnded:
+def _decode_attempt_ended(values: list[str]) -> AttemptEnded:
+    request_id, attempt, endpoint, result, duration, is_final, usage, units, load_report = values
     return AttemptEnded(
-        f[0],
-        integer(f[1]),
-        f[2],
-        one_of(RESULTS, f[3]),
-        number(f[4]),
-        flag(f[5]),
-        number(f[6]),
-        number(f[7]),
-        report(f[8]),
+        request_id=request_id,
+        attempt=decode_integer(attempt),
+        endpoint=endpoint,
+        result=decode_word(ATTEMPT_RESULTS, result),
+        duration_ms=decode_number(duration),
+        is_final=decode_flag(is_final),
+        metered_usage_percent=decode_number(usage),
+        actual_units=decode_number(units),
+        load_report=decode_load_report(load_report),
     )
 
 
-def _counter_reply(f: list[str]) -> CounterReply:
-    return CounterReply(f[3], one_of(COUNTER_RESULTS, f[1]), number(f[0]), number(f[2]))
+def _decode_response_started(values: list[str]) -> ResponseStarted:
+    request_id, attempt, *_ = values
+    return ResponseStarted(request_id, decode_integer(attempt))
 
 
-def _peer(f: list[str]) -> GossipReceived:
+def _decode_client_disconnected(values: list[str]) -> ClientDisconnected:
+    return ClientDisconnected(values[0])
+
+
+def _decode_timer_fired(values: list[str]) -> TimerFired:
+    return TimerFired(values[0])
+
+
+def _decode_counter_reply(values: list[str]) -> CounterReply:
+    total, result, duration, name = values
+    return CounterReply(
+        name=name,
+        result=decode_word(COUNTER_RESULTS, result),
+        total=decode_number(total),
+        duration_ms=decode_number(duration),
+    )
+
+
+def _decode_health_check_ended(values: list[str]) -> HealthCheckEnded:
+    duration, endpoint, result, load_report = values
+    return HealthCheckEnded(
+        endpoint=endpoint,
+        result=decode_word(ATTEMPT_RESULTS, result),
+        duration_ms=decode_number(duration),
+        load_report=decode_load_report(load_report),
+    )
+
+
+def _decode_gossip(values: list[str]) -> GossipReceived:
+    sender, payload = values
     try:
-        return GossipReceived(integer(f[0]), bytes.fromhex("" if f[1] == "-" else f[1]))
+        return GossipReceived(decode_integer(sender), bytes.fromhex("" if payload == "-" else payload))
     except ValueError:
-        raise WireError(f"bad bytes {f[1]!r}") from None
-
-
-# Message name: number of values after the instance (None: any), and how to read them.
-READERS: dict[str, tuple[int | None, Callable[[list[str]], object]]] = {
-    "OPEN_INSTANCE": (None, _open),
-    "REQ": (9, _request),
-    "ENDED": (9, _outcome),
-    "INBOX": (2, _peer),
-    "DETACH": (0, lambda f: Close()),
-    "PROBE_DONE": (4, lambda f: HealthCheckEnded(f[1], one_of(RESULTS, f[2]), number(f[0]), report(f[3]))),
-    "CLIENT_LEFT": (1, lambda f: ClientDisconnected(f[0])),
-    "HEAD_RECEIVED": (4, lambda f: ResponseStarted(f[0], integer(f[1]))),
-    "TICK_DUE": (1, lambda f: TimerFired(f[0])),
-    "COUNTER_REPLY": (
-        4,
-        lambda f: CounterReply(f[3], one_of(COUNTER_RESULTS, f[1]), number(f[0]), number(f[2])),
-    ),
+        raise MalformedLineError(f"bad bytes {payload!r}") from None
+
+
+def _decode_catalog_update(values: list[str]) -> CatalogUpdate:
+    kind_word, version, catalog = values
+    kind = decode_word(UPDATE_KINDS, kind_word)
+    decode_integer(version)
+    return CatalogUpdate(kind, None if kind is UpdateKind.FAILED else decode_integer(catalog))
+
+
+@dataclass(slots=True, frozen=True)
+class _Reader:
+    decode: Callable[[list[str]], Message]
+    value_count: int | None  # None: any number above 0
+
+
+READERS: dict[str, _Reader] = {
+    "OPEN_INSTANCE": _Reader(_decode_open, None),
+    "DETACH": _Reader(_decode_close, 0),
+    "DIRECTORY_UPDATE": _Reader(_decode_catalog_update, 3),
+    "REQ": _Reader(_decode_request, 9),
+    "ENDED": _Reader(_decode_attempt_ended, 9),
+    "HEAD_RECEIVED": _Reader(_decode_response_started, 4),
+    "CLIENT_LEFT": _Reader(_decode_client_disconnected, 1),
+    "TICK_DUE": _Reader(_decode_timer_fired, 1),
+    "COUNTER_REPLY": _Reader(_decode_counter_reply, 4),
+    "PROBE_DONE": _Reader(_decode_health_check_ended, 4),
+    "INBOX": _Reader(_decode_gossip, 2),
 }
 
 
-def event(parts: list[str]) -> object:
-    """One event line, split at single spaces, as an event of the model (or Open, Close)."""
-    name = parts[0]
-    if name not in READERS:
-        raise WireError(f"unknown message {name!r}")
-    count, reader = READERS[name]
-    values = parts[2:]
-    if len(parts) < 2 or (count is None and not values) or (count is not None and len(values) != count):
-        raise WireError(f"{name}: wrong number of values")
-    return reader(values)
-
-
-def action(instance: str, act: Action) -> str:
-    """One action as a line."""
-    match act:
-        case StartAttempt():
-            return f"DELIVER {instance} {act.request_id} {act.timeout_ms:.3f} {act.endpoint}"
-        case RejectRequest():
-            return f"REFUSE {instance} {act.request_id} {act.retry_after_ms:.3f}"
-        case FailRequest():
-            return f"GIVE_UP {instance} {act.request_id}"
-        case CancelAttempt():
-            return f"UNDO_SEND {instance} {act.request_id} {act.attempt}"
-        case StartTimer():
-            return f"AFTER {instance} {act.delay_ms:.3f} {act.name}"
-        case IncrementCounter():
-            return f"ADD {instance} {act.name} {act.amount:g} {act.ttl_ms:.3f}"
-        case SubscribeToEndpoints():
-            return f"OBSERVE {instance} 1"
-        case WriteLog():
-            return f"NOTE_DOWN {instance} {' '.join(act.text.split())}"
-    raise TypeError(f"not an action: {act!r}")
+def decode_message(parts: list[str]) -> Message:
+    """Convert the parts of a line that concerns one instance.
+
+    Args:
+        parts: Name of the message, the instance, and the values.
+
+    Raises:
+        MalformedLineError: The line does not follow the format.
+        InvalidSettingError: A setting of a new instance has a word that is not allowed.
+    """
+    name, values = parts[0], parts[2:]
+    reader = READERS.get(name)
+    if reader is None:
+        raise MalformedLineError(f"unknown message {name!r}")
+    complete = bool(values) if reader.value_count is None else len(values) == reader.value_count
+    if len(parts) < 2 or not complete:
+        raise MalformedLineError(f"{name}: wrong number of values")
+    return reader.decode(values)
+
+
+# --- Lines without an instance -----------------------------------------------------------------------------
+
+
+def decode_batch_header(parts: list[str]) -> float:
+    """Convert the first line of a batch to the clock in milliseconds.
+
+    Raises:
+        MalformedLineError: The line is not the first one of a batch.
+    """
+    if parts[0] != "BATCH" or len(parts) != 2:
+        raise MalformedLineError("expected BATCH and the clock")
+    return decode_number(parts[1])
+
+
+def decode_catalog_header(parts: list[str]) -> CatalogHeader:
+    """Convert the line before the entries of a catalog.
+
+    Raises:
+        MalformedLineError: The line does not follow the format.
+    """
+    if len(parts) != 3:
+        raise MalformedLineError("CATALOG: wrong number of values")
+    return CatalogHeader(number=decode_integer(parts[1]), size=decode_integer(parts[2]))
+
+
+def decode_endpoint(parts: list[str]) -> Endpoint:
+    """Convert one entry of a catalog.
+
+    Raises:
+        MalformedLineError: The line does not follow the format.
+    """
+    if len(parts) != 8 or parts[0] != "M":
+        raise MalformedLineError("a list entry needs M and 7 values")
+    _, name, zone, _, failure_domain, status, weight, started_at = parts
+    if status not in ENDPOINT_STATUSES:
+        raise MalformedLineError(f"unknown status {status!r}")
+    return Endpoint(
+        name=name,
+        zone=zone,
+        failure_domain=decode_integer(failure_domain),
+        status=ENDPOINT_STATUSES[status],
+        weight=decode_number(weight),
+        started_at_ms=decode_number(started_at),
+    )
--- a/tests/test_acceptance_terms.py
+++ b/tests/test_acceptance_terms.py
@@ -23,11 +23,11 @@
 from test_net_parts import Answers, Held, an_order, core_with, dialling
 
 from api_gateway.configuration import (
-    LEAST_SOCKETS,
+    MIN_DESCRIPTORS,
     ConfigurationError,
-    client_sockets,
+    max_downstream_connections,
+    max_upstream_connections,
     parse,
-    upstream_sockets,
 )
 from api_gateway.model.actions import FailRequest, RejectRequest, StartAttempt
 from api_gateway.model.endpoints import UpdateKind
@@ -528,7 +528,7 @@
 # --- Idle clients may fill the descriptors while discovery is down -----------------------------------------
 
 
-@pytest.mark.parametrize("sockets", [LEAST_SOCKETS, 256])
+@pytest.mark.parametrize("sockets", [MIN_DESCRIPTORS, 256])
 def test_idle_clients_that_fill_the_descriptors_leave_room_for_all_else(tmp_path: Path, sockets: int) -> None:
     """The real program at the system's own limit: discovery, the counter and the hosts find a descriptor."""
 
@@ -560,7 +560,7 @@
 
             idle = [asyncio.create_task(hold()) for _ in range(2 * sockets)]
             # What is full keeps its share of the descriptors for clients, and answers those who ask.
-            full = client_sockets(sockets)
+            full = max_downstream_connections(sockets)
             while len(os.listdir(folder)) < full + 10:
                 await asyncio.sleep(0.01)
             await served(0x100)
@@ -584,14 +584,21 @@
     to the counter and to discovery twice while it moves them, and one client is being accepted."""
 
     async def scenario() -> None:
-        async with RunningProgram(tmp_path, lambda seen: reply(b"served"), sockets=LEAST_SOCKETS) as rig:
+        async with RunningProgram(tmp_path, lambda seen: reply(b"served"), sockets=MIN_DESCRIPTORS) as rig:
             await rig.counter.until(lambda fake: fake.opened == 4)
-            own = LEAST_SOCKETS
+            own = MIN_DESCRIPTORS
             for _ in range(30):  # until the connection that asked whether it is ready is gone
                 own = min(own, len(os.listdir(f"/proc/{rig.process.pid}/fd")))
                 await asyncio.sleep(0.01)
-            for sockets in (LEAST_SOCKETS, 200, 256, 576, 1024):
-                assert client_sockets(sockets) + upstream_sockets(sockets) + own + (4 + 1) + 1 <= sockets
+            for sockets in (MIN_DESCRIPTORS, 200, 256, 576, 1024):
+                assert (
+                    max_downstream_connections(sockets)
+                    + max_upstream_connections(sockets)
+                    + own
+                    + (4 + 1)
+                    + 1
+                    <= sockets
+                )
 
     run_scenario(scenario)
 
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -117,7 +117,7 @@
         }
     )
     dispatcher = Dispatcher(config, asyncio.get_running_loop())
-    dispatcher._apply(config.known, UpdateKind.CACHED)
+    dispatcher._apply(config.cached_endpoints, UpdateKind.CACHED)
     dispatcher._loop.call_soon(dispatcher._beat)
     return dispatcher, dispatcher._gateway
 
--- /dev/null
+++ b/tests/test_readme.py
@@ -0,0 +1,20 @@
+"""The example in the README runs as printed."""
+
+from __future__ import annotations
+
+import re
+import subprocess
+import sys
+from pathlib import Path
+
+ROOT = Path(__file__).parent.parent
+
+
+def test_readme_example_runs() -> None:
+    code = re.search(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S)
+    assert code
+    done = subprocess.run(
+        [sys.executable, "-c", code[1]], capture_output=True, text=True, cwd=ROOT, check=False
+    )
+    assert done.returncode == 0, done.stderr
+    assert done.stdout.splitlines()[-1] == "served by 10.0.0.1:80"
--- /dev/null
+++ b/tests/test_settings_codec.py
@@ -0,0 +1,121 @@
+"""The codec of the settings object, and the errors that name its keys."""
+
+from __future__ import annotations
+
+import dataclasses
+
+import pytest
+
+from api_gateway.configuration import parse
+from api_gateway.errors import ConfigurationError, InvalidSettingError, MalformedSettingError
+from api_gateway.model.settings import Idempotency, KeyScope, Plan, RequestClass, Settings
+from api_gateway.settings_codec import (
+    CLASS_KEYS,
+    GATEWAY_KEYS,
+    PLAN_KEYS,
+    configured_key,
+    decode_settings,
+    decode_transport_settings,
+    flatten,
+)
+
+RAW = {
+    "listen": "127.0.0.1:1",
+    "discovery": "127.0.0.1:2",
+    "seed": "1",
+}
+
+
+def settings_object(**changes: object) -> dict[str, object]:
+    read = {"name": "read", "objective_ms": 1000.0, "deadline_ms": 4000.0}
+    return {"grades": [read], "packages": [{"name": "basic", "refill": 2}], **changes}
+
+
+def test_every_field_of_the_model_has_exactly_one_key() -> None:
+    for keys, model in ((CLASS_KEYS, RequestClass), (PLAN_KEYS, Plan), (GATEWAY_KEYS, Settings)):
+        fields = [field.name for field in dataclasses.fields(model)]
+        if model is Settings:
+            fields = [name for name in fields if name not in ("classes", "plans")]
+        assert sorted(setting.field for setting in keys) == sorted(fields)
+
+
+def test_missing_keys_give_the_defaults_of_the_model() -> None:
+    defaults = Settings(classes=())
+    assert decode_settings({}) == defaults
+
+
+def test_nested_object_is_flattened_to_paths() -> None:
+    nested = {"zones": ["a", "b"], "grades": [{"name": "x"}], "bounds": {"cancel": True, "peers": None}}
+    assert flatten(nested) == {
+        "zones": "a,b",
+        "grades.count": "1",
+        "grades.0.name": "x",
+        "bounds.cancel": "true",
+    }
+
+
+def test_words_and_flags_are_decoded() -> None:
+    grade = {"name": "put", "effect": "keyed", "key_scope": "cell", "stream": True}
+    settings = decode_settings(flatten({"grades": [grade], "membership_mode": "on_request"}))
+    (request_class,) = settings.classes
+    assert request_class.idempotency is Idempotency.WITH_KEY
+    assert request_class.idempotency_key_scope is KeyScope.FAILURE_DOMAIN
+    assert request_class.streamed and settings.discovery_by_polling
+
+
+def test_malformed_number_names_its_path() -> None:
+    with pytest.raises(MalformedSettingError, match=r"^packages\.0\.refill: bad number 'many'$"):
+        decode_settings(flatten({"packages": [{"refill": "many"}]}))
+
+
+def test_unknown_word_names_its_key_and_its_entry() -> None:
+    with pytest.raises(InvalidSettingError) as caught:
+        decode_settings(flatten({"grades": [{"name": "put", "effect": "odd"}]}))
+    assert caught.value.key == "grades[put].effect"
+    assert caught.value.field == "classes[put].effect"
+
+
+@pytest.mark.parametrize(
+    ("field", "key"),
+    [
+        ("classes", "grades"),
+        ("classes[a].b].latency_objective_ms, deadline_ms", "grades[a].b].objective_ms, deadline_ms"),
+        ("plans[basic].quota_rate", "packages[basic].refill"),
+        ("slow_start_ms", "rules.cold_ms"),
+        ("fleet_size", "fleet_size"),
+        ("no_such_field", "no_such_field"),
+    ],
+)
+def test_field_of_the_model_is_translated_to_its_key(field: str, key: str) -> None:
+    assert configured_key(field) == key
+
+
+@pytest.mark.parametrize(
+    ("changes", "text"),
+    [
+        ({"grades": []}, "settings: grades: at least one is needed"),
+        ({"me": 1}, "settings: me: must lie in 0 .. fleet_size - 1"),
+        (
+            {"grades": [{"name": "read", "objective_ms": 0, "deadline_ms": 1}]},
+            "settings: grades[read].objective_ms, deadline_ms: must be above 0",
+        ),
+        (
+            {"packages": [{"name": "basic", "burst": -1}]},
+            "settings: packages[basic].burst: must not be negative",
+        ),
+        ({"tick_ms": -1}, "settings: tick_ms: must not be negative"),
+        ({"bounds": {"dial_timeout_ms": 0}}, "settings: bounds.dial_timeout_ms: must be above 0"),
+        ({"rules": {"must_ask_in_ms": "x"}}, "settings: rules.must_ask_in_ms: bad number 'x'"),
+    ],
+)
+def test_configuration_error_names_the_key(changes: dict[str, object], text: str) -> None:
+    with pytest.raises(ConfigurationError) as caught:
+        parse({**RAW, "settings": settings_object(**changes)})
+    assert str(caught.value) == text
+
+
+def test_transport_settings_have_defaults() -> None:
+    transport = decode_transport_settings({"bounds.conn_idle_ms": "20000"})
+    assert transport.connect_timeout_ms == 250.0
+    assert transport.idle_timeout_ms == 20000.0
+    assert transport.max_poll_interval_ms == 10000.0
--- a/tests/test_wire.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter by transcript: good batches, bad lines, odd splits, the README's example."""
+"""The simulator's adapter as a program: transcripts of well-formed, malformed and truncated input."""
 
 from __future__ import annotations
 
@@ -47,11 +47,11 @@
     )
 
 
-def req(name: str, rid: str, customer: str = "key:c") -> str:
-    return f"REQ {name} {rid} read basic {customer} 4000.0 1 3 0 0"
+def req(name: str, rid: str, tenant: str = "key:c") -> str:
+    return f"REQ {name} {rid} read basic {tenant} 4000.0 1 3 0 0"
 
 
-def test_a_day_in_four_batches() -> None:
+def test_requests_are_served_over_four_batches() -> None:
     done = run("BATCH 900\nEND\n" + opening("gateway/0") + batch(1010, req("gateway/0", "r-a")))
     assert done.returncode == 0 and done.stderr == ""
     lines = done.stdout.splitlines()
@@ -98,7 +98,7 @@
         "",
     ],
 )
-def test_malformed_lines_end_it_with_one_plain_line(line: str) -> None:
+def test_malformed_line_exits_with_one_line_on_stderr(line: str) -> None:
     done = run(opening("gateway/0") + f"BATCH 1010\n{line}\nEND\n")
     assert done.returncode not in (0, 1)
     assert re.fullmatch(r"line \d+: .+\n", done.stderr)
@@ -106,19 +106,38 @@
     assert done.stdout.endswith("OK\n") and done.stdout.count("OK") == 1
 
 
-def test_truncated_input() -> None:
+def test_truncated_input_exits_with_one_line_on_stderr() -> None:
     for text in (opening("gateway/0") + "BATCH 1010\nREQ gate", opening("gateway/0") + "BATCH 1010\n"):
         done = run(text)
         assert done.returncode != 0 and done.stderr.count("\n") == 1
 
 
-def test_a_module_that_breaks_is_reported_for_its_instance() -> None:
+def test_invalid_settings_are_reported_for_their_instance() -> None:
     done = run("BATCH 1\nOPEN_INSTANCE gateway/0 5 fleet_size=0 grades.count=0\nEND\n")
     assert done.returncode == 0
     assert done.stdout == "BROKEN gateway/0 ValueError: classes: at least one is needed\nOK\n"
 
 
-def script(*names: str) -> str:
+@pytest.mark.parametrize(
+    ("setting", "text"),
+    [
+        ("grades.0.effect=odd", "classes[read].effect: 'odd' is not safe, keyed or unsafe"),
+        ("grades.0.key_scope=odd", "classes[read].key_scope: 'odd' is not all, zone or cell"),
+    ],
+)
+def test_word_that_is_not_allowed_is_reported_for_its_instance(setting: str, text: str) -> None:
+    done = run(f"BATCH 1\nOPEN_INSTANCE gateway/0 5 {SETUP} {setting}\nEND\n")
+    assert (done.returncode, done.stderr) == (0, "")
+    assert done.stdout == f"BROKEN gateway/0 ValueError: {text}\nOK\n"
+
+
+def test_malformed_number_in_settings_names_its_key() -> None:
+    done = run(f"BATCH 1\nOPEN_INSTANCE gateway/0 5 {SETUP} rules.cold_ms=soon\nEND\n")
+    assert (done.returncode, done.stdout) == (2, "")
+    assert done.stderr == "line 2: rules.cold_ms: bad number 'soon'\n"
+
+
+def transcript(*names: str) -> str:
     text = opening(*names)
     for step in range(60):
         now = 30000 + 40 * step
@@ -127,29 +146,10 @@
     return text
 
 
-def test_same_actions_whatever_the_hash_seed_and_the_split() -> None:
-    together = run(script("gateway/0", "gateway/1")).stdout
+def test_actions_do_not_depend_on_hash_seed_or_on_other_instances() -> None:
+    together = run(transcript("gateway/0", "gateway/1")).stdout
     assert together.count("DELIVER") + together.count("ADD") > 20
-    assert run(script("gateway/0", "gateway/1"), hash_seed="99").stdout == together
-    alone = run(script("gateway/0")).stdout.splitlines()
+    assert run(transcript("gateway/0", "gateway/1"), hash_seed="99").stdout == together
+    alone = run(transcript("gateway/0")).stdout.splitlines()
     mine = [x for x in together.splitlines() if " gateway/0 " in x]
     assert mine == [x for x in alone if x != "OK"]
-
-
-def test_readme_example_runs() -> None:
-    code = re.search(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S)
-    assert code
-    done = subprocess.run(
-        [sys.executable, "-c", code[1]], capture_output=True, text=True, cwd=ROOT, check=False
-    )
-    assert done.returncode == 0, done.stderr
-    assert done.stdout.splitlines()[-1] == "served by 10.0.0.1:80"
-
-
-def test_deploy_file_is_as_agreed() -> None:
-    text = (ROOT / "deploy" / "balancer.toml").read_text()
-    parts = ", ".join(
-        f'"api_gateway/decisions/{part}.py"' for part in ("gateway", "admission", "occupancy", "subset")
-    )
-    assert f"policy = [{parts}]" in text
-    assert 'sim = "exec .venv/bin/python -m api_gateway.simulator"' in text
