--- a/api_gateway/configuration.py
+++ b/api_gateway/configuration.py
@@ -10,7 +10,7 @@
 
 from api_gateway.errors import ConfigurationError, SettingError
 from api_gateway.model.settings import Settings
-from api_gateway.network.discovery import EndpointList, parse_endpoint_list
+from api_gateway.network.discovery_codec import Address, EndpointList, parse_endpoint_list
 from api_gateway.settings_codec import (
     TransportSettings,
     check_settings,
@@ -19,8 +19,6 @@
     flatten,
 )
 
-Address = tuple[str, int]
-
 CONFIGURATION_VARIABLE = "ROUTER_CONFIG"
 OVERRIDES = {"name": "ROUTER_NAME", "listen": "ROUTER_LISTEN", "discovery": "ROUTER_DISCOVERY"}
 
--- a/api_gateway/network/discovery.py
+++ b/api_gateway/network/discovery.py
@@ -1,300 +1,291 @@
-"""Discovery: a watch on the list of hosts that outlives whatever the agent does."""
+"""The watch on discovery's endpoint list."""
 
 from __future__ import annotations
 
 import asyncio
-import json
 import logging
 import random
 from collections.abc import Callable
-from dataclasses import dataclass
 
-from api_gateway.model.endpoints import Endpoint, EndpointStatus
+from api_gateway.errors import MalformedEndpointListError
+from api_gateway.network.discovery_codec import (
+    Address,
+    EndpointList,
+    decode_endpoint_list,
+    encode_poll,
+    parse_endpoint_list,
+)
+from api_gateway.network.discovery_policy import PollPolicy
 from api_gateway.network.response_parser import LONGEST_LIST, Response, ResponseProtocol
 
+__all__ = ["DiscoveryWatch", "EndpointList", "parse_endpoint_list"]
+
 log = logging.getLogger(__name__)
 
-# A change counts as told 6 s after discovery had it and could be reached, whatever came before. So a watch,
-# and a call with the rest after it, take ROUND_S at most, and what is asked next is dialled and answered (or
-# given up) within DIAL_S + CALL_S: 2.8 + 0.1 + 0.6 + 2.2 = 5.7 s from the worst moment on, however large the
-# fleet.
-ROUND_S = 2.8  # from the begin of one call to that of the next, where discovery must be asked
-DIAL_S = 0.6  # how long a dial to it may take
-CALL_S = 2.2  # how long an answer may take that discovery has to work for, with others in its line
-WAIT_MS = 2000  # how long a call may wait there, and where an agent on this machine answers
-WHOLE_S = 30.0  # how long a whole list may take while more of it comes: no other call would be quicker
-PROGRESS_S = 0.6  # how long nothing of it may come meanwhile
-OVERDUE_S = 0.6  # how long an answer may be overdue where a wait has ended
-CATCH_UP_MS = 1  # the first wait after a list of unknown age: its answer comes at once, also with no news
-AGENT_S = 0.2  # overdue with the agent, which answers at once: what it has counts as told, asked or not
-GRACE_S = 0.002  # a turn of the loop or two, in which what has arrived is read before it counts as missing
-BACKOFF_S = 0.05
-REST_S = 0.1  # a rest that a round always has room for; a call to the agent is free: the longest after one
-STATES = {
-    "ready": EndpointStatus.UP,
-    "draining": EndpointStatus.DRAINING,
-    "gone": EndpointStatus.REMOVED,
-}
-
-
-@dataclass(slots=True, frozen=True)
-class EndpointList:
-    """One answer of discovery: hosts by instance id, and where to dial them."""
-
-    generation: int
-    whole: bool
-    endpoints: tuple[Endpoint, ...]
-    addresses: dict[str, tuple[str, int]]
-
-
-def parse_endpoint_list(raw: object) -> EndpointList:
-    """Discovery's JSON as a `Listing`; ValueError where it is not one."""
-    if not isinstance(raw, dict) or not isinstance(raw.get("instances"), list):
-        raise ValueError("is no list of instances")
-    generation = raw.get("generation")
-    if not isinstance(generation, int) or isinstance(generation, bool):
-        raise ValueError(f"generation {generation!r} is not a whole number")
-    servers, addresses = [], {}
-    for entry in raw["instances"]:
-        server, address = _instance(entry)
-        servers.append(server)
-        if address is not None:
-            addresses[server.name] = address
-    return EndpointList(generation, bool(raw.get("reset")), tuple(servers), addresses)
-
-
-def _instance(entry: object) -> tuple[Endpoint, tuple[str, int] | None]:
-    if not isinstance(entry, dict) or not isinstance(entry.get("instanceId"), str) or not entry["instanceId"]:
-        raise ValueError("an instance without instanceId")
-    name = entry["instanceId"]
-    # Guards against a state that a later discovery may add: what is not known to be ready gets no new work.
-    status = STATES.get(entry.get("lifecycle"), EndpointStatus.DRAINING)
-    host, _, port = str(entry.get("hostPort", "")).rpartition(":")
-    if status is not EndpointStatus.REMOVED and not (
-        host and port.isascii() and port.isdigit() and int(port) < 65536
-    ):
-        raise ValueError(f"{name}: hostPort {entry.get('hostPort')!r} is not HOST:PORT")
-    try:
-        # The module's clock is Unix time in milliseconds, so startedAtMs needs no more than reading.
-        server = Endpoint(
-            name,
-            str(entry.get("zone", "")),
-            int(entry.get("cell", 0)),
-            status,
-            float(entry.get("weight", 1.0)),
-            float(entry.get("startedAtMs", 0)),
-        )
-    except (TypeError, ValueError):
-        raise ValueError(f"{name}: cell, weight or startedAtMs is not a number") from None
-    return server, ((host.strip("[]"), int(port)) if status is not EndpointStatus.REMOVED else None)
+READ_GRACE_S = 0.002  # some turns of the loop, in which a response that has arrived is read
 
 
 class DiscoveryWatch:
-    """Keeps one watch going and hands on each answer.
-
-    A gateway that has a list asks for what has changed since: discovery pays for each line that it sends, and
-    whole lists for a fleet that starts at once are what overbooks it. What fails is tried again after a
-    backoff with full jitter. Otherwise gateways that start or lose discovery together would retry in step
-    for good, find its line full each time, and each learn of drains and new hosts never.
+    """Polls discovery for as long as the gateway runs, and passes on each endpoint list.
 
-    A watch that has fallen silent looks like one that has no news, so it waits for so short a time that
-    silence is found out, and what it missed asked for, within the 6 s after which a change counts as told.
-    What was silent or broken is followed by a call that does not wait: its silence shows at once.
+    One poll follows the other: connect if there is no connection, send the poll, wait for its response, and
+    poll again at once. A poll that fails is retried after a backoff with full jitter, so that gateways that
+    fail together do not retry in step. A watch that knows a list asks for its changes only, also after a
+    failure: full lists for a whole fleet at once would overload discovery.
 
-    What this asks of discovery for a fleet of N: N / 2 waits a second, and after an outage N answers within
-    5.6 s (36 a second for 200 gateways, 120 for 670). One that serves fewer cannot tell all in time.
+    A long poll without a response looks like one without a change. So polls wait for a short time only, and
+    the first poll after a failure does not wait, which shows at once whether discovery answers.
     """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        address: tuple[str, int],
-        told: Callable[[EndpointList], None],
+        address: Address,
+        on_update: Callable[[EndpointList], None],
         rng: random.Random,
-        known: int | None = None,
-        spread_s: float = 0.0,
+        known_generation: int | None = None,
+        policy: PollPolicy | None = None,
     ) -> None:
-        """`known`: the generation of the list that is known; `spread_s`: what the calls of the whole fleet
-        take of discovery, over which the first ones and those turned away are spread."""
-        self._spread_s = spread_s
-        self._pushed = not spread_s  # an agent on this machine has the list
-        self._loop, self._address, self._told, self._rng = loop, address, told, rng
-        self._generation = known  # None: the whole list is wanted
-        self._fresh = False  # the last call was answered, on from that generation
-        self._silent = False  # the last call was not answered: said once
-        self._connection: _Watch | None = None
-        self._dial: asyncio.Task | None = None
-        self._timer: asyncio.TimerHandle | None = None  # the end of our patience, or of a rest
-        self._failures = self._turned_away = 0
-        self._began = 0.0  # when the last call was begun, with its dial
-        self._taken = 0  # bytes of its answer that had come when its silence was last looked at
-        self._stopped = False
+        """Prepare a watch; `start` sends the first poll.
+
+        Args:
+            loop: The event loop.
+            address: Host and port of discovery.
+            on_update: Called with each endpoint list.
+            rng: Source of the jitter.
+            known_generation: Generation of the list that is known; None if there is none.
+            policy: Timeouts and backoff; that of an agent on this machine by default.
+        """
+        self._loop = loop
+        self._address = address
+        self._on_update = on_update
+        self._rng = rng
+        self._policy = policy if policy is not None else PollPolicy()
+        self._generation = known_generation  # None: the next poll asks for the full list
+        self._is_up_to_date = False  # the last poll was answered
+        self._has_timed_out = False  # since the last response; logged once
+        self._connecting: asyncio.Task | None = None
+        self._connection: DiscoveryConnection | None = None
+        self._timer: asyncio.TimerHandle | None = None  # the timeout of a step, or a delay before a poll
+        self._failures = 0
+        self._rejections = 0
+        self._poll_started_at = 0.0
+        self._received_bytes = 0  # of the response, when its timeout was last checked
+        self._is_stopped = False
+
+    @property
+    def generation(self) -> int | None:
+        """Generation of the list that is known; None if the next poll asks for the full list."""
+        return self._generation
 
     def start(self) -> None:
-        """Ask for what is new, or for the whole list if none is known; then for what changes."""
-        if self._generation is None or not self._spread_s:
-            self._ask()
+        """Send the first poll, at once or spread over the time that the fleet's polls take."""
+        if self._generation is None or self._policy.is_agent:
+            self._poll()
         else:
-            self._timer = self._loop.call_later(self._spread_s * self._rng.random(), self._ask)
+            self._start_timer(self._policy.spread_s * self._rng.random(), self._poll)
 
     def stop(self) -> None:
         """End the watch for good."""
-        self._stopped = True
-        if self._timer is not None:
-            self._timer.cancel()
-        if self._dial is not None:
-            self._dial.cancel()
+        self._is_stopped = True
+        self._cancel_timer()
+        if self._connecting is not None:
+            self._connecting.cancel()
         if self._connection is not None:
             self._connection.drop()
 
-    def move(self, address: tuple[str, int]) -> None:
-        """Watch at another address, from the whole list on; the list is kept until that has come."""
-        if self._stopped:
+    def change_address(self, address: Address) -> None:
+        """Poll another discovery, from its full list on; what is known is kept until that has arrived.
+
+        Args:
+            address: Host and port of the new discovery.
+        """
+        if self._is_stopped:
             return
-        connection, dial, self._connection, self._dial = self._connection, self._dial, None, None
-        if dial is not None:
-            dial.cancel()
+        connecting, self._connecting = self._connecting, None
+        connection, self._connection = self._connection, None
+        if connecting is not None:
+            connecting.cancel()
         if connection is not None:
             connection.drop()
-        self._address, self._generation, self._failures, self._fresh = address, None, 0, False
-        self._ask()
+        self._address = address
+        self._generation = None
+        self._failures = 0
+        self._is_up_to_date = False
+        self._poll()
+
+    # --- Poll ----------------------------------------------------------------------------------------------
 
-    def _ask(self) -> None:
-        if self._stopped:
+    def _poll(self) -> None:
+        if self._is_stopped:
             return
-        self._began, self._taken = self._loop.time(), 0
+        self._poll_started_at = self._loop.time()
+        self._received_bytes = 0
         if self._connection is not None:
-            self._write(self._connection)
-            return
-        self._watch_silence(AGENT_S if self._pushed else DIAL_S)
-        self._dial = self._loop.create_task(
-            self._loop.create_connection(lambda: _Watch(self), *self._address)
+            self._send_poll(self._connection)
+        else:
+            self._connect()
+
+    def _connect(self) -> None:
+        self._start_timer(self._policy.connect_timeout_s(), self._on_timeout)
+        self._connecting = self._loop.create_task(
+            self._loop.create_connection(lambda: DiscoveryConnection(self), *self._address)
         )
-        self._dial.add_done_callback(self._dialled)
+        self._connecting.add_done_callback(self._on_connect_done)
 
-    def _dialled(self, task: asyncio.Task) -> None:
-        failed = task.cancelled() or task.exception() is not None
-        if task is not self._dial:  # the watch has moved on meanwhile
-            if not failed:
+    def _on_connect_done(self, task: asyncio.Task) -> None:
+        has_failed = task.cancelled() or task.exception() is not None
+        if task is not self._connecting:  # the address has changed meanwhile
+            if not has_failed:
                 task.result()[1].drop()
             return
-        self._dial = None
-        if failed:
-            self._retry()
+        self._connecting = None
+        if has_failed:
+            self._back_off()
             return
         self._connection = task.result()[1]
-        if self._connection.closed:  # it broke before this turn of the loop, and was lost to nobody
-            self.lost(self._connection)
+        if self._connection.closed:  # its end was reported before it was known here
+            self.handle_disconnect(self._connection)
         else:
-            self._write(self._connection)
-
-    def _write(self, connection: _Watch) -> None:
-        wait_ms = CATCH_UP_MS
-        if self._fresh:
-            wait_ms = WAIT_MS
-        query = "" if self._generation is None else f"?after={self._generation}&wait_ms={wait_ms}"
-        self._watch_silence(self._patience_s(wait_ms))
-        connection.write(f"GET /v1/endpoints{query} HTTP/1.1\r\nHost: discovery\r\n\r\n".encode())
-
-    def _patience_s(self, wait_ms: float) -> float:
-        """How long a call that may wait so long is waited for."""
-        if self._pushed:
-            return wait_ms / 1000 + AGENT_S
-        # A call that does not wait stands in discovery's line; one whose wait has ended was served before.
-        return wait_ms / 1000 + OVERDUE_S if wait_ms > CATCH_UP_MS else CALL_S
-
-    def _watch_silence(self, seconds: float) -> None:
-        if self._timer is not None:
-            self._timer.cancel()
-        self._timer = self._loop.call_later(seconds, self._overdue)
+            self._send_poll(self._connection)
 
-    def _overdue(self) -> None:
-        # Guards against our own stall: the answer may be here and unread.
-        self._timer = self._loop.call_later(GRACE_S, self._given_up)
+    def _send_poll(self, connection: DiscoveryConnection) -> None:
+        wait_ms = self._policy.wait_ms(self._is_up_to_date)
+        self._start_timer(self._policy.response_timeout_s(wait_ms), self._on_timeout)
+        connection.write(encode_poll(self._generation, wait_ms))
 
-    def _given_up(self) -> None:
-        if self._comes_in():
-            self._watch_silence(PROGRESS_S)
-            return
-        # Guards against an agent that is silent for good: without this the watch would hang on one socket.
-        if not self._silent:
-            log.warning("discovery: no answer, asking again; the list is kept")
-        self._silent, self._fresh = True, False
-        if self._dial is not None:
-            self._dial.cancel()
-        elif self._connection is not None:
-            self._connection.drop()
+    # --- Response ------------------------------------------------------------------------------------------
 
-    def _comes_in(self) -> bool:
-        """Whether more of a whole list has come since this was asked last. A long one takes its time."""
-        if self._connection is None or self._generation is not None:
-            return False
-        before, self._taken = self._taken, self._connection.taken()
-        return self._taken > before and self._loop.time() < self._began + WHOLE_S
+    def handle_response(self, connection: DiscoveryConnection, response: Response, reusable: bool) -> None:
+        """Pass on the endpoint list of a response, and send the next poll.
 
-    def replied(self, connection: _Watch, reply: Response, reusable: bool) -> None:
-        """An answer: hand it on and ask for what comes next at once."""
+        Args:
+            connection: The connection that it arrived on.
+            response: The response.
+            reusable: Whether the connection can carry another poll.
+        """
         if connection is not self._connection:
             return
-        if reply.status != 200:
-            # Turned away: nothing was missed that the same question will not bring. Asking for the whole list
-            # from then on would be the dearest call there is, made by all while discovery is short of time.
-            log.warning("discovery: status %d, the list is kept", reply.status)
-            self._turned_away += 1
-            connection.drop()
+        if response.status != 200:
+            self._handle_rejection(connection, response.status)
             return
         try:
-            listing = parse_endpoint_list(json.loads(reply.body))
-            if not listing.whole and (self._generation is None or listing.generation < self._generation):
-                raise ValueError("changes to a list that was never sent")
-        except ValueError as error:
-            log.warning("discovery: bad answer, the list is kept: %s", error)
-            self._generation = None  # whatever was missed comes with the whole list
+            endpoint_list = self._decode(response.body)
+        except MalformedEndpointListError as error:
+            log.warning('discovery_response_malformed error="%s" endpoints=kept', error)
+            self._generation = None  # the full list brings whatever was missed
             connection.drop()
             return
-        self._failures, self._generation, self._fresh = 0, listing.generation, True
-        self._turned_away, self._silent = 0, False
+        self._generation = endpoint_list.generation
+        self._is_up_to_date = True
+        self._has_timed_out = False
+        self._failures = self._rejections = 0
         if not reusable:
             self._connection = None
             connection.drop()
-        self._ask()  # before the list is acted on: a late watch is a new one
-        self._told(listing)
+        self._poll()  # before the update is handled, which takes time
+        self._on_update(endpoint_list)
+
+    def _handle_rejection(self, connection: DiscoveryConnection, status: int) -> None:
+        # The generation stays known: full lists would cost a discovery that is overloaded the most.
+        log.warning("discovery_poll_rejected status=%d endpoints=kept", status)
+        self._rejections += 1
+        connection.drop()
+
+    def _decode(self, body: bytes) -> EndpointList:
+        endpoint_list = decode_endpoint_list(body)
+        if endpoint_list.is_full:
+            return endpoint_list
+        if self._generation is None or endpoint_list.generation < self._generation:
+            raise MalformedEndpointListError("changes to a list that was never sent")
+        return endpoint_list
+
+    # --- Failure -------------------------------------------------------------------------------------------
+
+    def handle_disconnect(self, connection: DiscoveryConnection) -> None:
+        """Retry after a connection was closed by either side.
+
+        Args:
+            connection: The connection that was closed.
+        """
+        if connection is not self._connection:
+            return
+        self._connection = None
+        # A long poll brings what was missed as well, and costs a service less than a poll without a wait.
+        self._is_up_to_date = self._is_up_to_date and not self._policy.is_agent
+        self._back_off()
+
+    def _on_timeout(self) -> None:
+        # A stalled loop fires this timer before it reads a response that has arrived in time.
+        self._timer = self._loop.call_later(READ_GRACE_S, self._on_grace_over)
+
+    def _on_grace_over(self) -> None:
+        if self._is_progressing():
+            self._start_timer(self._policy.progress_timeout_s(), self._on_timeout)
+        else:
+            self._give_up_poll()
 
-    def lost(self, connection: _Watch) -> None:
-        """The agent closed or reset the connection."""
-        if connection is self._connection:
-            self._connection = None
-            self._fresh = self._fresh and not self._pushed  # where calls cost, the watch itself catches up
-            self._retry()
+    def _is_progressing(self) -> bool:
+        """Whether more of a full list has arrived since this was checked last."""
+        if self._connection is None or self._generation is not None:
+            return False
+        previous_bytes, self._received_bytes = self._received_bytes, self._connection.taken()
+        deadline = self._poll_started_at + self._policy.full_list_timeout_s()
+        return self._received_bytes > previous_bytes and self._loop.time() < deadline
+
+    def _give_up_poll(self) -> None:
+        if not self._has_timed_out:
+            log.warning("discovery_poll_timed_out endpoints=kept")
+        self._has_timed_out = True
+        self._is_up_to_date = False
+        if self._connecting is not None:
+            self._connecting.cancel()
+        elif self._connection is not None:
+            self._connection.drop()
 
-    def _retry(self) -> None:
-        if self._timer is not None:
-            self._timer.cancel()
-        if self._stopped:
+    def _back_off(self) -> None:
+        self._cancel_timer()
+        if self._is_stopped:
             return
         self._failures += 1
-        wait = BACKOFF_S * 2 ** min(self._failures, 10)
-        if self._turned_away and self._spread_s:
-            wait = self._spread_s * 2 ** min(self._turned_away - 1, 10)
-        left = 0.0 if self._pushed else self._began + ROUND_S - self._loop.time()
-        wait = min(wait, max(left, REST_S))  # a slow failure has used up its round
-        self._timer = self._loop.call_later(wait * self._rng.random(), self._ask)
+        limit_s = self._policy.backoff_limit_s(
+            failures=self._failures,
+            rejections=self._rejections,
+            started_at=self._poll_started_at,
+            now=self._loop.time(),
+        )
+        self._start_timer(limit_s * self._rng.random(), self._poll)
+
+    def _start_timer(self, delay_s: float, callback: Callable[[], None]) -> None:
+        self._cancel_timer()
+        self._timer = self._loop.call_later(delay_s, callback)
+
+    def _cancel_timer(self) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
 
 
-class _Watch(ResponseProtocol):
-    """The connection to the agent."""
+class DiscoveryConnection(ResponseProtocol):
+    """One connection to discovery.
+
+    Attributes:
+        closed: Whether its end has been reported.
+    """
 
-    def __init__(self, owner: DiscoveryWatch) -> None:
+    def __init__(self, watch: DiscoveryWatch) -> None:
         super().__init__(LONGEST_LIST)
-        self._owner = owner
+        self._watch = watch
         self.closed = False
 
     def replied(self, reply: Response, reusable: bool) -> None:
-        self._owner.replied(self, reply, reusable)
+        """Pass a response to the watch."""
+        self._watch.handle_response(self, reply, reusable)
 
     def spoilt(self) -> None:
-        log.warning("discovery: an answer that cannot be read, the list is kept")
+        """Log a response that is not HTTP; the connection is closed next."""
+        log.warning("discovery_response_unreadable endpoints=kept")
 
     def lost(self) -> None:
+        """Report the end of the connection to the watch."""
         self.closed = True
-        self._owner.lost(self)
+        self._watch.handle_disconnect(self)
--- /dev/null
+++ b/api_gateway/network/discovery_codec.py
@@ -0,0 +1,109 @@
+"""Codec of discovery's wire: the request of a poll, and the endpoint list that answers it."""
+
+from __future__ import annotations
+
+import json
+from dataclasses import dataclass
+
+from api_gateway.errors import MalformedEndpointListError
+from api_gateway.model.endpoints import Endpoint, EndpointStatus
+
+Address = tuple[str, int]
+
+STATUS_BY_LIFECYCLE = {
+    "ready": EndpointStatus.UP,
+    "draining": EndpointStatus.DRAINING,
+    "gone": EndpointStatus.REMOVED,
+}
+
+
+@dataclass(slots=True, frozen=True)
+class EndpointList:
+    """One answer of discovery.
+
+    Attributes:
+        generation: Number of the list; each change raises it.
+        is_full: Whether `endpoints` are all endpoints, and not only those that have changed.
+        endpoints: The endpoints.
+        addresses: Host and port by the name of the endpoint; removed endpoints have none.
+    """
+
+    generation: int
+    is_full: bool
+    endpoints: tuple[Endpoint, ...]
+    addresses: dict[str, Address]
+
+
+def encode_poll(known_generation: int | None, wait_ms: int) -> bytes:
+    """Return the request for the full list, or for its changes.
+
+    Args:
+        known_generation: Generation of the list that is known; None to ask for the full list.
+        wait_ms: How long discovery may wait for a change before it answers.
+    """
+    query = "" if known_generation is None else f"?after={known_generation}&wait_ms={wait_ms}"
+    return f"GET /v1/endpoints{query} HTTP/1.1\r\nHost: discovery\r\n\r\n".encode()
+
+
+def decode_endpoint_list(body: bytes) -> EndpointList:
+    """Convert the body of a response.
+
+    Raises:
+        MalformedEndpointListError: The body is not an endpoint list in JSON.
+    """
+    try:
+        raw = json.loads(body)
+    except ValueError as error:
+        raise MalformedEndpointListError(str(error)) from None
+    return parse_endpoint_list(raw)
+
+
+def parse_endpoint_list(raw: object) -> EndpointList:
+    """Convert the JSON value of an endpoint list.
+
+    Raises:
+        MalformedEndpointListError: The value is not an endpoint list.
+    """
+    if not isinstance(raw, dict) or not isinstance(raw.get("instances"), list):
+        raise MalformedEndpointListError("is no list of instances")
+    generation = raw.get("generation")
+    if not isinstance(generation, int) or isinstance(generation, bool):
+        raise MalformedEndpointListError(f"generation {generation!r} is not a whole number")
+    endpoints: list[Endpoint] = []
+    addresses: dict[str, Address] = {}
+    for entry in raw["instances"]:
+        endpoint, address = _parse_instance(entry)
+        endpoints.append(endpoint)
+        if address is not None:
+            addresses[endpoint.name] = address
+    return EndpointList(generation, bool(raw.get("reset")), tuple(endpoints), addresses)
+
+
+def _parse_instance(entry: object) -> tuple[Endpoint, Address | None]:
+    if not isinstance(entry, dict):
+        raise MalformedEndpointListError("an instance without instanceId")
+    name = entry.get("instanceId")
+    if not isinstance(name, str) or not name:
+        raise MalformedEndpointListError("an instance without instanceId")
+    # A lifecycle that a later version of discovery may add is not known to take new requests.
+    status = STATUS_BY_LIFECYCLE.get(entry.get("lifecycle"), EndpointStatus.DRAINING)
+    address = None if status is EndpointStatus.REMOVED else _parse_address(name, entry)
+    try:
+        endpoint = Endpoint(
+            name=name,
+            zone=str(entry.get("zone", "")),
+            failure_domain=int(entry.get("cell", 0)),
+            status=status,
+            weight=float(entry.get("weight", 1.0)),
+            started_at_ms=float(entry.get("startedAtMs", 0)),
+        )
+    except (TypeError, ValueError):
+        raise MalformedEndpointListError(f"{name}: cell, weight or startedAtMs is not a number") from None
+    return endpoint, address
+
+
+def _parse_address(name: str, entry: dict[str, object]) -> Address:
+    host, _, port = str(entry.get("hostPort", "")).rpartition(":")
+    if not (host and port.isascii() and port.isdigit() and int(port) < 65536):
+        raise MalformedEndpointListError(f"{name}: hostPort {entry.get('hostPort')!r} is not HOST:PORT")
+    return host.strip("[]"), int(port)
--- a/api_gateway/network/dispatcher.py
+++ b/api_gateway/network/dispatcher.py
@@ -35,7 +35,8 @@
 )
 from api_gateway.model.results import AttemptResult, CounterResult
 from api_gateway.network.counter import CounterClient
-from api_gateway.network.discovery import ROUND_S, DiscoveryWatch, EndpointList
+from api_gateway.network.discovery import DiscoveryWatch, EndpointList
+from api_gateway.network.discovery_policy import PollPolicy
 from api_gateway.network.response_parser import Response
 from api_gateway.network.upstream.pool import Attempt, ConnectionPool
 
@@ -46,8 +47,6 @@
 MODULE_MS = 20.0  # the module is told of an end this much earlier, so that it comes first
 BEAT_S = 0.05  # spacing of the heartbeat that measures our own lag
 LAG_MS = 5.0  # a heartbeat later than this is a stall
-LIST_CALL_S = 0.2  # what one call may take of a discovery that must be asked (0.16 s was seen)
-ASK_SHARE = 0.8  # part of the time in which a gateway has to ask, at most
 LIST_WAIT_S = 1.0  # how long a start waits for discovery before it serves with the list it was given
 
 
@@ -62,19 +61,6 @@
         return (self._offset + time.monotonic()) * 1000
 
 
-def list_spread_s(config: Configuration) -> float:
-    """Over what time the fleet's first calls to discovery are spread, where it must be asked.
-
-    It serves calls in turn, and works on those that nobody waits for any more: what a fleet asks at once
-    keeps it busy with the dead. Who asks too late counts as told all the same, so within a round.
-    """
-    if not config.settings.discovery_by_polling:
-        return 0.0
-    return min(
-        LIST_CALL_S * config.settings.fleet_size, ASK_SHARE * config.max_poll_interval_ms / 1000, ROUND_S
-    )
-
-
 class Client(Protocol):
     """Who is owed an answer."""
 
@@ -143,7 +129,12 @@
         known = config.cached_endpoints.generation if config.cached_endpoints.endpoints else None
         # A generator of its own for the network's jitter: the module's draws stay a function of its events.
         self._discovery = DiscoveryWatch(
-            loop, config.discovery, self._listed, random.Random(config.seed ^ 1), known, list_spread_s(config)
+            loop,
+            config.discovery,
+            self._listed,
+            random.Random(config.seed ^ 1),
+            known,
+            PollPolicy.for_settings(config.settings, config.max_poll_interval_ms),
         )
         self._counter = (
             CounterClient(loop, config.counter, config.settings.counter_timeout_ms, self._post)
@@ -191,7 +182,7 @@
 
     def reload(self, config: Configuration) -> None:
         """Go over to the discovery and the counter that a new configuration names; all else stays."""
-        self._discovery.move(config.discovery)
+        self._discovery.change_address(config.discovery)
         if self._counter is not None and config.counter is not None:
             self._counter.move(config.counter)
 
@@ -331,7 +322,7 @@
     def _listed(self, listing: EndpointList) -> None:
         self._heard = True
         self.endpoints_known.set()
-        self._apply(listing, UpdateKind.FULL if listing.whole else UpdateKind.CHANGES)
+        self._apply(listing, UpdateKind.FULL if listing.is_full else UpdateKind.CHANGES)
 
     def _apply(self, listing: EndpointList, kind: UpdateKind) -> None:
         gone = {s.name for s in listing.endpoints if s.status is EndpointStatus.REMOVED}
--- a/testbed/hollow.py
+++ b/testbed/hollow.py
@@ -159,7 +159,7 @@
 
     def generation(self) -> int:
         """Of the list that it knows, 0 for none."""
-        return self._discovery._generation or 0
+        return self._discovery.generation or 0
 
 
 class HollowFleet:
--- a/tests/test_acceptance_terms.py
+++ b/tests/test_acceptance_terms.py
@@ -39,7 +39,8 @@
     TimerFired,
 )
 from api_gateway.model.results import AttemptResult
-from api_gateway.network.discovery import ROUND_S, DiscoveryWatch, EndpointList, parse_endpoint_list
+from api_gateway.network.discovery import DiscoveryWatch, EndpointList, parse_endpoint_list
+from api_gateway.network.discovery_policy import MAX_POLL_CYCLE_S, PollPolicy
 from api_gateway.network.dispatcher import Dispatcher
 from api_gateway.network.downstream.listener import Listener
 from api_gateway.network.response_parser import Response
@@ -265,7 +266,7 @@
     def end(self) -> None:
         if not self.closed:
             self.closed = True
-            self.world.it.lost(self)
+            self.world.it.handle_disconnect(self)
 
     def taken(self) -> int:
         return 0
@@ -285,7 +286,7 @@
         self.reached: float | None = None
         self.told: float | None = None
         self.begins: list[float] = []
-        self.it = DiscoveryWatch(self, ("127.0.0.1", 1), self._heard, luck, 7, spread_s)
+        self.it = DiscoveryWatch(self, ("127.0.0.1", 1), self._heard, luck, 7, PollPolicy(spread_s))
         self.it.start()
 
     def time(self) -> float:
@@ -335,7 +336,7 @@
     def _answer(self, line: Line, status: int, generation: int) -> None:
         if not line.closed:
             body = json.dumps({"generation": generation, "reset": False, "instances": []}).encode()
-            self.it.replied(line, Response(status, {}, body, True), True)
+            self.it.handle_response(line, Response(status, {}, body, True), True)
 
     def _heard(self, listing: EndpointList) -> None:
         if listing.generation == 9 and self.told is None:
@@ -360,7 +361,7 @@
 @pytest.mark.parametrize("fleet", [3, 200, 670])
 def test_told_within_6_s_after_every_order_of_failures(fleet: int) -> None:
     """All orders of up to four ends of a dial or call, each with its change at the worst moment."""
-    spread_s = min(0.2 * fleet, ROUND_S)
+    spread_s = min(0.2 * fleet, MAX_POLL_CYCLE_S)
     for length in (1, 2, 3, 4):
         for ways in itertools.product(WAYS, repeat=length):
             assert World(ways, Worst(), spread_s).play() <= TOLD_S, ways
@@ -372,21 +373,21 @@
 
 def test_told_within_6_s_of_the_start_at_the_latest() -> None:
     for fleet in (3, 200, 670):
-        world = World((), Worst(), min(0.2 * fleet, ROUND_S))
+        world = World((), Worst(), min(0.2 * fleet, MAX_POLL_CYCLE_S))
         world.reached = 0.0
         assert world.play() <= TOLD_S
 
 
 def test_a_fleet_asks_no_more_than_the_bound_that_is_written_down() -> None:
     """Turned away for good, a gateway makes a call in 1.4 s in the mean: 480 a second for 670 gateways; a
-    watch with no news makes one in 2 s. `Discovery` names what that wants of it."""
-    world = World(("refused", "refused") * 400, random.Random(1), ROUND_S)
+    watch with no news makes one in 2 s. `discovery_policy` names what that wants of it."""
+    world = World(("refused", "refused") * 400, random.Random(1), MAX_POLL_CYCLE_S)
     while world.now < 300:
         world.now, _, timer = heapq.heappop(world.timers)
         if timer.live:
             timer.then()
     assert len(world.begins) / 300 < 1 / 1.2
-    world = World(("reset", *("slow",) * 140), random.Random(1), ROUND_S)
+    world = World(("reset", *("slow",) * 140), random.Random(1), MAX_POLL_CYCLE_S)
     world.play()
     assert 140 / world.reached < 1 / 2.0
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The watch on the list of hosts: what it asks for, and when it comes again."""
+"""The watch on the endpoint list: what it polls for, when it retries, and what it gives up."""
 
 from __future__ import annotations
 
@@ -10,35 +10,34 @@
 from support.http_fakes import CLASS_SETTINGS, PLAN_SETTINGS
 
 from api_gateway import configuration
-from api_gateway.network.discovery import (
-    BACKOFF_S,
-    CALL_S,
-    PROGRESS_S,
-    ROUND_S,
-    WHOLE_S,
-    DiscoveryWatch,
-    EndpointList,
+from api_gateway.network.discovery import DiscoveryWatch, EndpointList
+from api_gateway.network.discovery_policy import (
+    BACKOFF_BASE_S,
+    FULL_LIST_TIMEOUT_S,
+    MAX_POLL_CYCLE_S,
+    PROGRESS_TIMEOUT_S,
+    RESPONSE_TIMEOUT_S,
+    PollPolicy,
 )
-from api_gateway.network.dispatcher import list_spread_s
 from api_gateway.network.response_parser import Response
 
 
-class Timer:
-    def __init__(self, at: float, then: Callable[[], None]) -> None:
-        self.at, self.then, self.live = at, then, True
+class FakeTimer:
+    def __init__(self, due_at: float, callback: Callable[[], None]) -> None:
+        self.due_at, self.callback, self.is_pending = due_at, callback, True
 
     def cancel(self) -> None:
-        self.live = False
+        self.is_pending = False
 
 
-class Dial:
-    """A dial that has come up at once."""
+class FakeConnectTask:
+    """A task of `create_connection` that succeeds when the test completes it."""
 
-    def __init__(self, connection: Connection) -> None:
+    def __init__(self, connection: FakeConnection) -> None:
         self.connection = connection
 
-    def add_done_callback(self, then: Callable[[Dial], None]) -> None:
-        self.then = then
+    def add_done_callback(self, callback: Callable[[FakeConnectTask], None]) -> None:
+        self.callback = callback
 
     def cancelled(self) -> bool:
         return False
@@ -46,207 +45,219 @@
     def exception(self) -> None:
         return None
 
-    def result(self) -> tuple[None, Connection]:
+    def result(self) -> tuple[None, FakeConnection]:
         return None, self.connection
 
 
-class Connection:
+class FakeConnection:
+    """A connection that records the targets of its polls, and whether the watch has closed it."""
+
     def __init__(self) -> None:
-        self.asked: list[str] = []
+        self.polls: list[str] = []
         self.dropped = self.closed = False
 
     def write(self, data: bytes) -> None:
-        self.asked.append(data.decode().split()[1])
+        self.polls.append(data.decode().split()[1])
 
     def drop(self) -> None:
         self.dropped = True
 
 
-class Loop:
-    """A loop whose clock and connections the test moves by hand."""
+class FakeLoop:
+    """A loop whose clock and connections the test advances by hand."""
 
     def __init__(self) -> None:
-        self.now, self.timers, self.dials = 0.0, [], []
+        self.now = 0.0
+        self.timers: list[FakeTimer] = []
+        self.connect_tasks: list[FakeConnectTask] = []
 
     def time(self) -> float:
         return self.now
 
-    def call_later(self, delay: float, then: Callable[[], None]) -> Timer:
-        self.timers.append(Timer(self.now + delay, then))
+    def call_later(self, delay: float, callback: Callable[[], None]) -> FakeTimer:
+        self.timers.append(FakeTimer(self.now + delay, callback))
         return self.timers[-1]
 
-    def create_connection(self, make: Callable, host: str, port: int) -> None:
+    def create_connection(self, protocol_factory: Callable, host: str, port: int) -> None:
         return None
 
-    def create_task(self, dial: None) -> Dial:
-        self.dials.append(Dial(Connection()))
-        return self.dials[-1]
+    def create_task(self, coroutine: None) -> FakeConnectTask:
+        self.connect_tasks.append(FakeConnectTask(FakeConnection()))
+        return self.connect_tasks[-1]
 
-    def next_timer(self) -> Timer:
-        return min((t for t in self.timers if t.live), key=lambda t: t.at)
+    def next_timer(self) -> FakeTimer:
+        return min((t for t in self.timers if t.is_pending), key=lambda t: t.due_at)
 
     def fire(self) -> float:
-        """Run the next timer; how long it took to come."""
+        """Run the next timer, and return the seconds until it was due."""
         timer = self.next_timer()
-        timer.live = False
-        waited, self.now = timer.at - self.now, max(timer.at, self.now)
-        timer.then()
-        return waited
+        timer.is_pending = False
+        delay, self.now = timer.due_at - self.now, max(timer.due_at, self.now)
+        timer.callback()
+        return delay
 
-    def up(self, watch: DiscoveryWatch) -> Connection:
-        dial = self.dials[-1]
-        dial.then(dial)
-        return dial.connection
+    def complete_connect(self) -> FakeConnection:
+        task = self.connect_tasks[-1]
+        task.callback(task)
+        return task.connection
 
 
-def reply(status: int, body: bytes = b"") -> Response:
+def response(status: int, body: bytes = b"") -> Response:
     return Response(status, {}, body, True)
 
 
-def turned_away(loop: Loop, watch: DiscoveryWatch) -> float:
-    """One call that is answered 503; how long the watch then rests."""
-    connection = loop.up(watch)
-    watch.replied(connection, reply(503), True)
+def reject_poll(loop: FakeLoop, watch: DiscoveryWatch) -> float:
+    """Answer one poll with 503, and return the seconds of the backoff after it."""
+    connection = loop.complete_connect()
+    watch.handle_response(connection, response(503), True)
     assert connection.dropped
-    watch.lost(connection)
+    watch.handle_disconnect(connection)
     return loop.fire()
 
 
-def watch(
-    loop: Loop, seed: int, told: list[EndpointList], known: int | None = 7, spread_s: float = 8.0
+def create_watch(
+    loop: FakeLoop,
+    seed: int = 1,
+    updates: list[EndpointList] | None = None,
+    known_generation: int | None = 7,
+    spread_s: float = 8.0,
 ) -> DiscoveryWatch:
-    return DiscoveryWatch(loop, ("127.0.0.1", 1), told.append, random.Random(seed), known, spread_s)
+    on_update = [].append if updates is None else updates.append
+    policy = PollPolicy(spread_s)
+    return DiscoveryWatch(loop, ("127.0.0.1", 1), on_update, random.Random(seed), known_generation, policy)
 
 
-def test_a_fleet_that_starts_at_once_asks_spread_over_the_time_its_calls_take() -> None:
+def test_first_polls_of_a_fleet_are_spread_over_the_time_they_take() -> None:
     first = []
     for seed in range(40):
-        loop = Loop()
-        watch(loop, seed, []).start()
-        assert not loop.dials
+        loop = FakeLoop()
+        create_watch(loop, seed).start()
+        assert not loop.connect_tasks
         first.append(loop.fire())
-        assert len(loop.dials) == 1
+        assert len(loop.connect_tasks) == 1
     per_second = [sum(1 for at in first if s <= at < s + 1) for s in range(8)]
     assert sum(per_second) == 40 and max(per_second) <= 12
 
 
-def test_calls_turned_away_come_again_within_a_round_and_not_in_step() -> None:
-    """Spread over all of a round, and no longer: a change counts as told, crowded or not."""
-    rests = []
+def test_rejected_polls_are_retried_within_a_cycle_and_with_jitter() -> None:
+    """The delays fill the whole cycle and no more, so that a change is known in time under overload, too."""
+    delays = []
     for seed in range(40):
-        loop = Loop()
-        it = watch(loop, seed, [])
-        it.start()
+        loop = FakeLoop()
+        watch = create_watch(loop, seed)
+        watch.start()
         loop.fire()
-        rests.append([turned_away(loop, it) for _ in range(5)])
+        delays.append([reject_poll(loop, watch) for _ in range(5)])
     for turn in range(5):
-        mine = sorted(r[turn] for r in rests)
-        assert max(mine) <= ROUND_S and len({round(x, 3) for x in mine}) > 30
-    mean = [sum(r[turn] for r in rests) / 40 for turn in range(5)]
-    assert all(abs(m - ROUND_S / 2) < 0.35 for m in mean)
+        of_turn = sorted(d[turn] for d in delays)
+        assert max(of_turn) <= MAX_POLL_CYCLE_S and len({round(x, 3) for x in of_turn}) > 30
+    mean = [sum(d[turn] for d in delays) / 40 for turn in range(5)]
+    assert all(abs(m - MAX_POLL_CYCLE_S / 2) < 0.35 for m in mean)
 
 
-def test_calls_of_a_small_fleet_turned_away_come_again_later_and_later() -> None:
-    rests = []
+def test_rejected_polls_of_a_small_fleet_back_off_exponentially() -> None:
+    delays = []
     for seed in range(40):
-        loop = Loop()
-        it = watch(loop, seed, [], spread_s=0.6)
-        it.start()
+        loop = FakeLoop()
+        watch = create_watch(loop, seed, spread_s=0.6)
+        watch.start()
         loop.fire()
-        rests.append([turned_away(loop, it) for _ in range(3)])
-    mean = [sum(r[turn] for r in rests) / 40 for turn in range(3)]
+        delays.append([reject_poll(loop, watch) for _ in range(3)])
+    mean = [sum(d[turn] for d in delays) / 40 for turn in range(3)]
     assert mean[1] > 1.5 * mean[0] and mean[2] > 1.5 * mean[1]
 
 
-def test_what_is_turned_away_asks_again_for_the_changes_only() -> None:
-    loop, told = Loop(), []
-    it = watch(loop, 1, told)
-    it.start()
+def test_retry_of_a_rejected_poll_asks_for_changes_only() -> None:
+    loop, updates = FakeLoop(), []
+    watch = create_watch(loop, 1, updates)
+    watch.start()
     loop.fire()
-    turned_away(loop, it)
-    connection = loop.up(it)
-    assert connection.asked == ["/v1/endpoints?after=7&wait_ms=1"]
-    watch_on = b'{"generation":9,"reset":false,"instances":[]}'
-    it.replied(connection, reply(200, watch_on), True)
-    assert connection.asked[1:] == ["/v1/endpoints?after=9&wait_ms=2000"]
-    assert [x.generation for x in told] == [9]
-
-
-def test_an_answer_that_cannot_be_believed_still_brings_the_whole_list() -> None:
-    loop, told = Loop(), []
-    it = watch(loop, 1, told)
-    it.start()
+    reject_poll(loop, watch)
+    connection = loop.complete_connect()
+    assert connection.polls == ["/v1/endpoints?after=7&wait_ms=1"]
+    no_changes = b'{"generation":9,"reset":false,"instances":[]}'
+    watch.handle_response(connection, response(200, no_changes), True)
+    assert connection.polls[1:] == ["/v1/endpoints?after=9&wait_ms=2000"]
+    assert [update.generation for update in updates] == [9]
+
+
+def test_malformed_response_is_followed_by_a_poll_for_the_full_list() -> None:
+    loop, updates = FakeLoop(), []
+    watch = create_watch(loop, 1, updates)
+    watch.start()
     loop.fire()
-    connection = loop.up(it)
-    it.replied(connection, reply(200, b"noise"), True)
-    it.lost(connection)
+    connection = loop.complete_connect()
+    watch.handle_response(connection, response(200, b"noise"), True)
+    watch.handle_disconnect(connection)
     loop.fire()
-    assert loop.up(it).asked == ["/v1/endpoints"] and not told
+    assert loop.complete_connect().polls == ["/v1/endpoints"] and not updates
 
 
-def answered(it: DiscoveryWatch, connection: Connection) -> None:
-    it.replied(connection, reply(200, b'{"generation":9,"reset":false,"instances":[]}'), True)
+def answer_poll(watch: DiscoveryWatch, connection: FakeConnection) -> None:
+    body = b'{"generation":9,"reset":false,"instances":[]}'
+    watch.handle_response(connection, response(200, body), True)
 
 
-@pytest.mark.parametrize(("spread_s", "most_s"), [(0.0, 6.0), (8.0, 6.0)])
-def test_a_watch_that_falls_silent_is_opened_anew_before_it_counts_as_told(
-    spread_s: float, most_s: float
-) -> None:
+@pytest.mark.parametrize(("spread_s", "limit_s"), [(0.0, 6.0), (8.0, 6.0)])
+def test_silent_watch_is_replaced_before_a_change_must_be_known(spread_s: float, limit_s: float) -> None:
     for seed in range(20):
-        loop = Loop()
-        it = watch(loop, seed, [], 7, spread_s)
-        it.start()
+        loop = FakeLoop()
+        watch = create_watch(loop, seed, spread_s=spread_s)
+        watch.start()
         if spread_s:
             loop.fire()
-        connection = loop.up(it)
-        answered(it, connection)
-        began, calls = loop.now, len(connection.asked)  # falls silent at once: the earliest there is
+        connection = loop.complete_connect()
+        answer_poll(watch, connection)
+        silent_since, polls = loop.now, len(connection.polls)
         while not connection.dropped:
             loop.fire()
-        it.lost(connection)
-        while len(loop.dials) < 2:
+        watch.handle_disconnect(connection)
+        while len(loop.connect_tasks) < 2:
             loop.fire()
-        fresh = loop.up(it)
-        # The agent is given up again and again within its 6 s; discovery at least once within the time.
-        assert loop.now - began < most_s / (2 if not spread_s else 1) and len(connection.asked) == calls
-        assert fresh.asked == ["/v1/endpoints?after=9&wait_ms=1"]  # and this one's silence shows at once
-
-
-def test_a_silent_agent_is_asked_again_within_the_grace_of_the_drain_rule() -> None:
-    loop = Loop()
-    it = watch(loop, 1, [], 7, 0.0)
-    it.start()
-    for _ in range(8):  # each call and rest: discovery may be back at any time, and what it has counts then
-        began, connection = loop.now, loop.up(it)
+        new_connection = loop.complete_connect()
+        # An agent is polled several times within the limit, a service at least once.
+        assert loop.now - silent_since < limit_s / (2 if not spread_s else 1)
+        assert len(connection.polls) == polls
+        assert new_connection.polls == ["/v1/endpoints?after=9&wait_ms=1"]
+
+
+def test_silent_agent_is_polled_again_within_the_drain_grace() -> None:
+    loop = FakeLoop()
+    watch = create_watch(loop, spread_s=0.0)
+    watch.start()
+    for _ in range(8):
+        started_at, connection = loop.now, loop.complete_connect()
         while not connection.dropped:
             loop.fire()
-        it.lost(connection)
+        watch.handle_disconnect(connection)
         loop.fire()
-        assert loop.now - began <= 0.2 + 0.1 + 0.01
+        assert loop.now - started_at <= 0.2 + 0.1 + 0.01
 
 
-def test_a_watch_that_breaks_as_it_comes_up_is_opened_anew() -> None:
-    loop = Loop()
-    it = watch(loop, 1, [], 7, 0.0)
-    it.start()
-    loop.dials[-1].connection.closed = True  # lost before the dial's end was told
-    loop.up(it)
-    assert loop.fire() <= 2 * BACKOFF_S and len(loop.dials) == 2
+def test_connection_that_ends_as_it_is_established_is_replaced() -> None:
+    loop = FakeLoop()
+    watch = create_watch(loop, spread_s=0.0)
+    watch.start()
+    loop.connect_tasks[-1].connection.closed = True  # reported before the task is done
+    loop.complete_connect()
+    assert loop.fire() <= 2 * BACKOFF_BASE_S and len(loop.connect_tasks) == 2
 
 
-def test_who_knows_no_list_or_need_not_ask_does_not_wait() -> None:
-    for known, spread_s in ((None, 8.0), (7, 0.0)):
-        loop = Loop()
-        watch(loop, 1, [], known, spread_s).start()
-        assert len(loop.dials) == 1
+@pytest.mark.parametrize(("known_generation", "spread_s"), [(None, 8.0), (7, 0.0)])
+def test_first_poll_is_sent_at_once_without_a_known_list_or_to_an_agent(
+    known_generation: int | None, spread_s: float
+) -> None:
+    loop = FakeLoop()
+    create_watch(loop, known_generation=known_generation, spread_s=spread_s).start()
+    assert len(loop.connect_tasks) == 1
 
 
 @pytest.mark.parametrize(
-    ("size", "discovery_by_polling", "spread_s"),
-    [(40, True, ROUND_S), (3, True, 0.6), (40, False, 0.0), (670, True, ROUND_S)],
+    ("fleet_size", "discovery_by_polling", "spread_s"),
+    [(40, True, MAX_POLL_CYCLE_S), (3, True, 0.6), (40, False, 0.0), (670, True, MAX_POLL_CYCLE_S)],
 )
-def test_the_spread_follows_the_fleets_size_and_the_time_to_ask(
-    size: int, discovery_by_polling: bool, spread_s: float
+def test_spread_follows_the_size_of_the_fleet_and_the_poll_interval(
+    fleet_size: int, discovery_by_polling: bool, spread_s: float
 ) -> None:
     raw = {
         "name": "n0",
@@ -256,35 +267,35 @@
         "settings": {
             "grades": CLASS_SETTINGS,
             "packages": PLAN_SETTINGS,
-            "fleet_size": size,
+            "fleet_size": fleet_size,
             "me": 0,
             "rules": {"must_ask_in_ms": 10000.0},
         },
     }
     config = configuration.parse(raw)
     settings = dataclasses.replace(config.settings, discovery_by_polling=discovery_by_polling)
-    assert list_spread_s(dataclasses.replace(config, settings=settings)) == pytest.approx(spread_s)
+    policy = PollPolicy.for_settings(settings, config.max_poll_interval_ms)
+    assert policy.spread_s == pytest.approx(spread_s)
 
 
-def test_a_whole_list_that_is_coming_in_is_not_given_up_under_its_bytes() -> None:
-    loop = Loop()
-    it = watch(loop, 1, [], None)
-    it.start()
-    connection = loop.up(it)
-    came = iter([1000, 2000, 3000])
-    connection.taken = lambda: next(came, 3000)
-    began = loop.now
+def test_full_list_is_not_given_up_while_more_of_it_arrives() -> None:
+    loop = FakeLoop()
+    create_watch(loop, known_generation=None).start()
+    connection = loop.complete_connect()
+    received_bytes = iter([1000, 2000, 3000])
+    connection.taken = lambda: next(received_bytes, 3000)
+    started_at = loop.now
     while not connection.dropped:
         loop.fire()
-    assert CALL_S + 3 * PROGRESS_S <= loop.now - began < CALL_S + 3 * PROGRESS_S + 0.1  # once no more comes
+    timeout_s = RESPONSE_TIMEOUT_S + 3 * PROGRESS_TIMEOUT_S
+    assert timeout_s <= loop.now - started_at < timeout_s + 0.1
 
 
-def test_a_whole_list_that_never_ends_is_given_up() -> None:
-    loop = Loop()
-    it = watch(loop, 1, [], None)
-    it.start()
-    connection = loop.up(it)
+def test_full_list_that_never_ends_is_given_up() -> None:
+    loop = FakeLoop()
+    create_watch(loop, known_generation=None).start()
+    connection = loop.complete_connect()
     connection.taken = lambda: int(1000 * loop.now) + 1
     while not connection.dropped:
         loop.fire()
-    assert WHOLE_S <= loop.now < WHOLE_S + 2 * PROGRESS_S
+    assert FULL_LIST_TIMEOUT_S <= loop.now < FULL_LIST_TIMEOUT_S + 2 * PROGRESS_TIMEOUT_S
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -18,7 +18,7 @@
 
 from api_gateway.configuration import parse
 from api_gateway.model.endpoints import EndpointStatus
-from api_gateway.network import discovery as discovery_calls
+from api_gateway.network import discovery_policy
 from api_gateway.network.discovery import parse_endpoint_list
 from testbed import configuration
 from testbed.children import ChildError, Children
@@ -58,7 +58,7 @@
         server = await serve(it.handle, it.traffic)
         ((status, body),) = await ask(server, "GET /v1/endpoints")
         whole = parse_endpoint_list(msgspec.json.decode(body))
-        assert status == 200 and whole.whole and len(whole.endpoints) == 30
+        assert status == 200 and whole.is_full and len(whole.endpoints) == 30
         watch = asyncio.create_task(ask(server, f"GET /v1/endpoints?after={whole.generation}&wait_ms=20000"))
         while not it._waiting:
             await asyncio.sleep(0)
@@ -67,7 +67,7 @@
             [msgspec.structs.replace(gone, lifecycle="gone"), Instance("s-new", "127.0.0.1:9", "zone-1")]
         )
         news = parse_endpoint_list(msgspec.json.decode((await watch)[0][1]))
-        assert not news.whole and {s.name: s.status for s in news.endpoints} == {
+        assert not news.is_full and {s.name: s.status for s in news.endpoints} == {
             gone.instanceId: EndpointStatus.REMOVED,
             "s-new": EndpointStatus.UP,
         }
@@ -153,8 +153,8 @@
 ) -> None:
     """Many in this process: ready by discovery's word, served, counted, every request answered."""
     # All share one loop with discovery: on a busy machine an answer would come after it was given up.
-    for name in ("AGENT_S", "CALL_S", "DIAL_S", "PROGRESS_S"):
-        monkeypatch.setattr(discovery_calls, name, 60.0)
+    for name in ("AGENT_TIMEOUT_S", "RESPONSE_TIMEOUT_S", "CONNECT_TIMEOUT_S", "PROGRESS_TIMEOUT_S"):
+        monkeypatch.setattr(discovery_policy, name, 60.0)
 
     async def scenario() -> None:
         directory, counts = Directory(listed(60)), Counts(50_000)
