--- /dev/null
+++ b/api_gateway/logs.py
@@ -0,0 +1,52 @@
+"""The log: one line for each event on standard error, at a limited rate.
+
+A line has the name of an event first and its values as `key=value` behind it.
+"""
+
+from __future__ import annotations
+
+import logging
+import sys
+import time
+
+MAX_LINES_PER_S = 20
+
+
+class RateLimitFilter(logging.Filter):
+    """Drops lines beyond a rate, and writes how many were dropped when the next second has a line."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self._second = 0
+        self._lines = 0
+
+    def filter(self, record: logging.LogRecord) -> bool:
+        """Return whether a line is within the rate.
+
+        Args:
+            record: The record of the line.
+        """
+        second = int(time.monotonic())
+        if second != self._second:
+            self._start_second(second)
+        self._lines += 1
+        return self._lines <= MAX_LINES_PER_S
+
+    def _start_second(self, second: int) -> None:
+        dropped = self._lines - MAX_LINES_PER_S
+        if dropped > 0:
+            sys.stderr.write(f"log_lines_dropped count={dropped}\n")
+        self._second = second
+        self._lines = 0
+
+
+def configure_logging(gateway_name: str) -> None:
+    """Write the log to standard error.
+
+    Args:
+        gateway_name: Stands in each line, behind the time.
+    """
+    handler = logging.StreamHandler(sys.stderr)
+    handler.setFormatter(logging.Formatter(f"%(asctime)s {gateway_name} %(levelname)s %(message)s"))
+    handler.addFilter(RateLimitFilter())
+    logging.basicConfig(level=logging.INFO, handlers=[handler])
--- /dev/null
+++ b/tests/test_logs.py
@@ -0,0 +1,39 @@
+"""The rate limit of the log."""
+
+from __future__ import annotations
+
+import logging
+
+import pytest
+
+from api_gateway import logs
+
+
+def record() -> logging.LogRecord:
+    return logging.LogRecord("gateway", logging.INFO, "file", 1, "event", None, None)
+
+
+def test_lines_beyond_the_rate_are_dropped_and_counted(
+    monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
+    now = 100.0
+    monkeypatch.setattr(logs.time, "monotonic", lambda: now)
+    rate_limit = logs.RateLimitFilter()
+    passed = [rate_limit.filter(record()) for _ in range(logs.MAX_LINES_PER_S + 3)]
+    assert passed == [True] * logs.MAX_LINES_PER_S + [False] * 3
+    assert capsys.readouterr().err == ""
+    now = 101.0
+    assert rate_limit.filter(record())
+    assert capsys.readouterr().err == "log_lines_dropped count=3\n"
+
+
+def test_lines_within_the_rate_are_not_reported_as_dropped(
+    monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
+    now = 100.0
+    monkeypatch.setattr(logs.time, "monotonic", lambda: now)
+    rate_limit = logs.RateLimitFilter()
+    assert all(rate_limit.filter(record()) for _ in range(logs.MAX_LINES_PER_S))
+    now = 101.0
+    assert rate_limit.filter(record())
+    assert capsys.readouterr().err == ""
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -667,7 +667,7 @@
     [
         ("{", "ROUTER_CONFIG"),
         ('{"settings": []}', "settings"),
-        ('{"settings": {"grades": []}, "listen": "x"}', "classes"),
+        ('{"settings": {"grades": []}, "listen": "x"}', "settings: grades: "),
         ('{"settings": {"grades": [{"name": "a", "objective_ms": "soon"}]}}', "grades.0.objective_ms"),
         ('{"settings": {"grades": [{"name": "a", "objective_ms": 1, "deadline_ms": 2}]}}', "listen"),
     ],
@@ -804,7 +804,7 @@
                 path.write_text(raw)
             for count in (1, 2):
                 rig.process.send_signal(signal.SIGHUP)
-                while sum("configuration is kept" in line for line in rig.log) < count:
+                while sum("configuration=kept" in line for line in rig.log) < count:
                     await asyncio.sleep(0.01)
             assert await rig.status(message()) == 200
             assert rig.directory.fake.closed == 0
