--- a/api_gateway/__main__.py
+++ b/api_gateway/__main__.py
@@ -11,9 +11,10 @@
 
 import uvloop
 
-from api_gateway.configuration import Address, Configuration, load
+from api_gateway.configuration import Configuration, load
 from api_gateway.errors import ConfigurationError
 from api_gateway.logs import configure_logging
+from api_gateway.network.address import Address
 from api_gateway.network.dispatcher import Dispatcher
 from api_gateway.network.downstream.listener import Listener
 from api_gateway.shutdown import GracefulShutdown
--- a/api_gateway/configuration.py
+++ b/api_gateway/configuration.py
@@ -10,7 +10,8 @@
 
 from api_gateway.errors import ConfigurationError, SettingError
 from api_gateway.model.settings import Settings
-from api_gateway.network.discovery_codec import Address, EndpointList, parse_endpoint_list
+from api_gateway.network.address import Address, parse_address
+from api_gateway.network.discovery_codec import EndpointList, parse_endpoint_list
 from api_gateway.settings_codec import (
     TransportSettings,
     check_settings,
@@ -102,9 +103,9 @@
     if settings.counter_enabled and not counter:
         raise ConfigurationError("counter: is missing, though the settings allow calls")
     cached_endpoints = _parse_cached_endpoints(raw)
-    listen = parse_address(raw, "listen")
-    discovery = parse_address(raw, "discovery")
-    counter_address = parse_address(raw, "counter") if counter else None
+    listen = _parse_address(raw, "listen")
+    discovery = _parse_address(raw, "discovery")
+    counter_address = _parse_address(raw, "counter") if counter else None
     seed = _parse_seed(raw)
     max_descriptors = _parse_max_descriptors(raw)
     transport = _parse_transport_settings(pairs)
@@ -123,18 +124,6 @@
     )
 
 
-def parse_address(raw: Mapping[str, object], key: str) -> Address:
-    """Convert the value of a key in the form HOST:PORT.
-
-    Raises:
-        ConfigurationError: The value does not have this form.
-    """
-    host, colon, port = str(raw.get(key, "")).rpartition(":")
-    if not colon or not host or not (port.isascii() and port.isdigit() and int(port) < 65536):
-        raise ConfigurationError(f"{key}: {raw.get(key)!r} is not HOST:PORT")
-    return host.strip("[]"), int(port)
-
-
 def max_downstream_connections(max_descriptors: int) -> int:
     """Return how many of the descriptors connections of clients may hold."""
     return int(DOWNSTREAM_SHARE * max_descriptors)
@@ -166,6 +155,13 @@
     return value
 
 
+def _parse_address(raw: Mapping[str, object], key: str) -> Address:
+    address = parse_address(str(raw.get(key, "")))
+    if address is None:
+        raise ConfigurationError(f"{key}: {raw.get(key)!r} is not HOST:PORT")
+    return address
+
+
 def _parse_settings(pairs: Mapping[str, str]) -> Settings:
     try:
         settings = decode_settings(pairs)
--- a/api_gateway/network/counter.py
+++ b/api_gateway/network/counter.py
@@ -8,6 +8,7 @@
 from api_gateway.model.actions import IncrementCounter
 from api_gateway.model.events import CounterReply
 from api_gateway.model.results import CounterResult
+from api_gateway.network.address import Address
 from api_gateway.network.counter_connection import CounterCall, CounterConnection
 
 CONNECTION_COUNT = 4  # a slow part of the counter delays only what shares a connection with its calls
@@ -20,7 +21,7 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        address: tuple[str, int],
+        address: Address,
         timeout_ms: float,
         on_reply: Callable[[CounterReply], None],
         connection_count: int = CONNECTION_COUNT,
@@ -50,7 +51,7 @@
         for connection in self._connections:
             connection.stop()
 
-    def change_address(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: Address) -> None:
         """Call another counter from now on; calls that were written finish on the old connections.
 
         Args:
@@ -72,7 +73,7 @@
         call.timer = self._loop.call_later(self._timeout_s, self._on_timeout, call)
         self._assign(call)
 
-    def _create_connections(self, address: tuple[str, int]) -> list[CounterConnection]:
+    def _create_connections(self, address: Address) -> list[CounterConnection]:
         return [CounterConnection(self._loop, address, self._report) for _ in range(self._connection_count)]
 
     def _assign(self, call: CounterCall) -> None:
--- a/api_gateway/network/counter_connection.py
+++ b/api_gateway/network/counter_connection.py
@@ -10,6 +10,7 @@
 
 from api_gateway.model.actions import IncrementCounter
 from api_gateway.model.results import CounterResult
+from api_gateway.network.address import Address
 from api_gateway.network.counter_codec import STATUSES_WITHOUT_INCREMENT, decode_total, encode_increment
 from api_gateway.network.response_parser import Response, ResponseProtocol
 
@@ -53,9 +54,7 @@
     out keeps its place, so that its late response is not taken for that of the next call.
     """
 
-    def __init__(
-        self, loop: asyncio.AbstractEventLoop, address: tuple[str, int], on_result: ResultCallback
-    ) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, address: Address, on_result: ResultCallback) -> None:
         """Prepare a connection; `connect` or the first call establishes it.
 
         Args:
--- a/api_gateway/network/discovery.py
+++ b/api_gateway/network/discovery.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 
 from api_gateway.errors import MalformedEndpointListError
+from api_gateway.network.address import Address
 from api_gateway.network.discovery_codec import (
-    Address,
     EndpointList,
     decode_endpoint_list,
     encode_poll,
--- a/api_gateway/network/discovery_codec.py
+++ b/api_gateway/network/discovery_codec.py
@@ -7,8 +7,7 @@
 
 from api_gateway.errors import MalformedEndpointListError
 from api_gateway.model.endpoints import Endpoint, EndpointStatus
-
-Address = tuple[str, int]
+from api_gateway.network.address import Address, parse_address
 
 STATUS_BY_LIFECYCLE = {
     "ready": EndpointStatus.UP,
@@ -103,7 +102,7 @@
 
 
 def _parse_address(name: str, entry: dict[str, object]) -> Address:
-    host, _, port = str(entry.get("hostPort", "")).rpartition(":")
-    if not (host and port.isascii() and port.isdigit() and int(port) < 65536):
+    address = parse_address(str(entry.get("hostPort", "")))
+    if address is None:
         raise MalformedEndpointListError(f"{name}: hostPort {entry.get('hostPort')!r} is not HOST:PORT")
-    return host.strip("[]"), int(port)
+    return address
--- /dev/null
+++ b/tests/test_configuration.py
@@ -0,0 +1,98 @@
+"""The configuration: its defaults, its errors, and the precedence of the environment."""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+
+import pytest
+
+from api_gateway.configuration import MIN_DESCRIPTORS, load, max_upstream_connections, parse
+from api_gateway.errors import ConfigurationError, GatewayError
+
+RAW = {
+    "listen": "127.0.0.1:1",
+    "discovery": "127.0.0.1:2",
+    "seed": "1",
+}
+
+
+def settings_object(**changes: object) -> dict[str, object]:
+    read = {"name": "read", "objective_ms": 1000.0, "deadline_ms": 4000.0}
+    return {"grades": [read], "packages": [{"name": "basic", "refill": 2}], **changes}
+
+
+@pytest.mark.parametrize(
+    ("changes", "text"),
+    [
+        ({"grades": []}, "settings: grades: at least one is needed"),
+        ({"me": 1}, "settings: me: must lie in 0 .. fleet_size - 1"),
+        (
+            {"grades": [{"name": "read", "objective_ms": 0, "deadline_ms": 1}]},
+            "settings: grades[read].objective_ms, deadline_ms: must be above 0",
+        ),
+        (
+            {"packages": [{"name": "basic", "burst": -1}]},
+            "settings: packages[basic].burst: must not be negative",
+        ),
+        ({"tick_ms": -1}, "settings: tick_ms: must not be negative"),
+        ({"bounds": {"dial_timeout_ms": 0}}, "settings: bounds.dial_timeout_ms: must be above 0"),
+        ({"rules": {"must_ask_in_ms": "x"}}, "settings: rules.must_ask_in_ms: bad number 'x'"),
+    ],
+)
+def test_configuration_error_names_the_key(changes: dict[str, object], text: str) -> None:
+    with pytest.raises(ConfigurationError) as caught:
+        parse({**RAW, "settings": settings_object(**changes)})
+    assert str(caught.value) == text
+
+
+@pytest.mark.parametrize(
+    ("changes", "text"),
+    [
+        ({"listen": "localhost"}, "listen: 'localhost' is not HOST:PORT"),
+        ({"discovery": "h:65536"}, "discovery: 'h:65536' is not HOST:PORT"),
+        ({"seed": "xyz"}, "seed: 'xyz' is not a hex number"),
+        ({"settings": []}, "settings: must be an object"),
+        (
+            {"limits": {"sockets": MIN_DESCRIPTORS - 1}},
+            "limits.sockets: must be a whole number of 128 or more",
+        ),
+        ({"known": {"instances": []}}, "known: generation None is not a whole number"),
+        (
+            {"settings": settings_object(family_info={"may_count": True})},
+            "counter: is missing, though the settings allow calls",
+        ),
+    ],
+)
+def test_error_names_the_key_at_the_top(changes: dict[str, object], text: str) -> None:
+    with pytest.raises(ConfigurationError) as caught:
+        parse({**RAW, "settings": settings_object(), **changes})
+    assert str(caught.value) == text
+    assert isinstance(caught.value, GatewayError)
+
+
+def test_defaults() -> None:
+    config = parse({**RAW, "settings": settings_object()})
+    assert (config.name, config.counter, config.cached_endpoints.endpoints) == ("", None, ())
+    assert (config.connect_timeout_ms, config.idle_timeout_ms) == (250.0, 15000.0)
+    assert config.max_poll_interval_ms == 10000.0
+
+
+def test_environment_takes_precedence_except_for_discovery_on_reload(tmp_path: Path) -> None:
+    path = tmp_path / "config.json"
+    path.write_text(json.dumps({**RAW, "settings": settings_object()}))
+    environment = {
+        "ROUTER_CONFIG": str(path),
+        "ROUTER_NAME": "n1",
+        "ROUTER_LISTEN": "[::1]:3",
+        "ROUTER_DISCOVERY": "127.0.0.1:4",
+    }
+    config = load(environment)
+    assert (config.name, config.listen, config.discovery) == ("n1", ("::1", 3), ("127.0.0.1", 4))
+    reloaded = load(environment, is_reload=True)
+    assert (reloaded.listen, reloaded.discovery) == (("::1", 3), ("127.0.0.1", 2))
+
+
+def test_connections_to_endpoints_leave_the_reserved_descriptors_free() -> None:
+    assert max_upstream_connections(MIN_DESCRIPTORS) == 34
+    assert max_upstream_connections(1024) == 368
--- a/tests/test_settings_codec.py
+++ b/tests/test_settings_codec.py
@@ -6,8 +6,7 @@
 
 import pytest
 
-from api_gateway.configuration import parse
-from api_gateway.errors import ConfigurationError, InvalidSettingError, MalformedSettingError
+from api_gateway.errors import InvalidSettingError, MalformedSettingError
 from api_gateway.model.settings import Idempotency, KeyScope, Plan, RequestClass, Settings
 from api_gateway.settings_codec import (
     CLASS_KEYS,
@@ -19,17 +18,6 @@
     flatten,
 )
 
-RAW = {
-    "listen": "127.0.0.1:1",
-    "discovery": "127.0.0.1:2",
-    "seed": "1",
-}
-
-
-def settings_object(**changes: object) -> dict[str, object]:
-    read = {"name": "read", "objective_ms": 1000.0, "deadline_ms": 4000.0}
-    return {"grades": [read], "packages": [{"name": "basic", "refill": 2}], **changes}
-
 
 def test_every_field_of_the_model_has_exactly_one_key() -> None:
     for keys, model in ((CLASS_KEYS, RequestClass), (PLAN_KEYS, Plan), (GATEWAY_KEYS, Settings)):
@@ -90,30 +78,6 @@
     assert configured_key(field) == key
 
 
-@pytest.mark.parametrize(
-    ("changes", "text"),
-    [
-        ({"grades": []}, "settings: grades: at least one is needed"),
-        ({"me": 1}, "settings: me: must lie in 0 .. fleet_size - 1"),
-        (
-            {"grades": [{"name": "read", "objective_ms": 0, "deadline_ms": 1}]},
-            "settings: grades[read].objective_ms, deadline_ms: must be above 0",
-        ),
-        (
-            {"packages": [{"name": "basic", "burst": -1}]},
-            "settings: packages[basic].burst: must not be negative",
-        ),
-        ({"tick_ms": -1}, "settings: tick_ms: must not be negative"),
-        ({"bounds": {"dial_timeout_ms": 0}}, "settings: bounds.dial_timeout_ms: must be above 0"),
-        ({"rules": {"must_ask_in_ms": "x"}}, "settings: rules.must_ask_in_ms: bad number 'x'"),
-    ],
-)
-def test_configuration_error_names_the_key(changes: dict[str, object], text: str) -> None:
-    with pytest.raises(ConfigurationError) as caught:
-        parse({**RAW, "settings": settings_object(**changes)})
-    assert str(caught.value) == text
-
-
 def test_transport_settings_have_defaults() -> None:
     transport = decode_transport_settings({"bounds.conn_idle_ms": "20000"})
     assert transport.connect_timeout_ms == 250.0
