--- a/api_gateway/network/dispatcher.py
+++ b/api_gateway/network/dispatcher.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from api_gateway.configuration import Configuration, upstream_sockets
+from api_gateway.configuration import Configuration, max_upstream_connections
 from api_gateway.decisions.gateway import Gateway
 from api_gateway.model.actions import (
     Action,
@@ -35,7 +35,8 @@
 )
 from api_gateway.model.results import AttemptResult, CounterResult
 from api_gateway.network.counter import CounterClient
-from api_gateway.network.discovery import ROUND_S, DiscoveryWatch, EndpointList
+from api_gateway.network.discovery import DiscoveryWatch, EndpointList
+from api_gateway.network.discovery_policy import PollPolicy
 from api_gateway.network.response_parser import Response
 from api_gateway.network.upstream.pool import Attempt, ConnectionPool
 
@@ -46,8 +47,6 @@
 MODULE_MS = 20.0  # the module is told of an end this much earlier, so that it comes first
 BEAT_S = 0.05  # spacing of the heartbeat that measures our own lag
 LAG_MS = 5.0  # a heartbeat later than this is a stall
-LIST_CALL_S = 0.2  # what one call may take of a discovery that must be asked (0.16 s was seen)
-ASK_SHARE = 0.8  # part of the time in which a gateway has to ask, at most
 LIST_WAIT_S = 1.0  # how long a start waits for discovery before it serves with the list it was given
 
 
@@ -62,17 +61,6 @@
         return (self._offset + time.monotonic()) * 1000
 
 
-def list_spread_s(config: Configuration) -> float:
-    """Over what time the fleet's first calls to discovery are spread, where it must be asked.
-
-    It serves calls in turn, and works on those that nobody waits for any more: what a fleet asks at once
-    keeps it busy with the dead. Who asks too late counts as told all the same, so within a round.
-    """
-    if not config.settings.discovery_by_polling:
-        return 0.0
-    return min(LIST_CALL_S * config.settings.fleet_size, ASK_SHARE * config.ask_within_ms / 1000, ROUND_S)
-
-
 class Client(Protocol):
     """Who is owed an answer."""
 
@@ -131,19 +119,29 @@
         self._clock = Clock()
         self._gateway = Gateway(config.settings, config.seed)
         self._hosts = hosts(
-            loop, upstream_sockets(config.sockets), config.dial_ms, config.idle_ms, self._ended, self._wanted
+            loop,
+            max_upstream_connections(config.max_descriptors),
+            config.connect_timeout_ms,
+            config.idle_timeout_ms,
+            self._ended,
+            self._wanted,
         )
-        known = config.known.generation if config.known.endpoints else None
+        known = config.cached_endpoints.generation if config.cached_endpoints.endpoints else None
         # A generator of its own for the network's jitter: the module's draws stay a function of its events.
         self._discovery = DiscoveryWatch(
-            loop, config.discovery, self._listed, random.Random(config.seed ^ 1), known, list_spread_s(config)
+            loop,
+            config.discovery,
+            self._listed,
+            random.Random(config.seed ^ 1),
+            known,
+            PollPolicy.for_settings(config.settings, config.max_poll_interval_ms),
         )
         self._counter = (
             CounterClient(loop, config.counter, config.settings.counter_timeout_ms, self._post)
             if config.counter is not None
             else None
         )
-        self._known = config.known
+        self._known = config.cached_endpoints
         self._requests: dict[str, _Open] = {}
         self._wire_ids: set[bytes] = set()  # of the requests that are open or have an attempt out
         self._serial = 0
@@ -184,9 +182,9 @@
 
     def reload(self, config: Configuration) -> None:
         """Go over to the discovery and the counter that a new configuration names; all else stays."""
-        self._discovery.move(config.discovery)
+        self._discovery.change_address(config.discovery)
         if self._counter is not None and config.counter is not None:
-            self._counter.move(config.counter)
+            self._counter.change_address(config.counter)
 
     def is_ready(self) -> bool:
         """Whether requests can be served: hosts are known, by discovery's word if it speaks at all."""
@@ -324,7 +322,7 @@
     def _listed(self, listing: EndpointList) -> None:
         self._heard = True
         self.endpoints_known.set()
-        self._apply(listing, UpdateKind.FULL if listing.whole else UpdateKind.CHANGES)
+        self._apply(listing, UpdateKind.FULL if listing.is_full else UpdateKind.CHANGES)
 
     def _apply(self, listing: EndpointList, kind: UpdateKind) -> None:
         gone = {s.name for s in listing.endpoints if s.status is EndpointStatus.REMOVED}
@@ -441,7 +439,7 @@
                 if self._counter is None:
                     self._post(CounterReply(act.name, CounterResult.CONNECT_FAILED, 0.0))
                 else:
-                    self._counter.call(act)
+                    self._counter.increment(act)
             case SubscribeToEndpoints():
                 pass  # the watch is always on
             case WriteLog():
--- a/testbed/simulated_gateways.py
+++ b/testbed/simulated_gateways.py
@@ -93,7 +93,7 @@
 
     def generation(self) -> int:
         """Return the generation of the known endpoint list, 0 without a list."""
-        return self._discovery._generation or 0
+        return self._discovery.generation or 0
 
 
 class SimulatedFleet:
--- /dev/null
+++ b/tests/test_deploy_file.py
@@ -0,0 +1,43 @@
+"""The deploy file has the agreed contents."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+ROOT = Path(__file__).parent.parent
+
+
+def test_deploy_file_is_as_agreed() -> None:
+    text = (ROOT / "deploy" / "balancer.toml").read_text()
+    modules = (
+        "admission",
+        "attempt_flow",
+        "ceiling",
+        "counter_health",
+        "endpoints",
+        "gateway",
+        "latency",
+        "load_sampling",
+        "occupancy",
+        "outlier_detection",
+        "pending_requests",
+        "quota",
+        "random_rounding",
+        "rate_limited_log",
+        "rejections",
+        "request_flow",
+        "retry",
+        "ring",
+        "selection",
+        "slow_start",
+        "subset",
+        "subset_sizing",
+        "tenants",
+        "traffic",
+        "uptime",
+        "usage_report",
+        "usage_reporting",
+    )
+    paths = "".join(f'    "api_gateway/decisions/{module}.py",\n' for module in modules)
+    assert f"policy = [\n{paths}]\n" in text
+    assert 'sim = "exec .venv/bin/python -m api_gateway.simulator"' in text
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -622,7 +622,7 @@
             await rig.counter.until(lambda fake: bool(spoilt))
             rig.counter.behave = lambda seen: counter_response(seen, rig.totals)
             assert (await rig.ask(message(rid=b"second", plan="quick"))).body == b"served"
-            while len([line for line in rig.log if "counter: an answer that cannot" in line]) < len(spoilt):
+            while len([line for line in rig.log if "counter_response_malformed" in line]) < len(spoilt):
                 await asyncio.sleep(0.01)
             assert len([line for line in rig.log if "WARNING" in line]) == len(spoilt)  # a line for each
 
@@ -667,7 +667,7 @@
     [
         ("{", "ROUTER_CONFIG"),
         ('{"settings": []}', "settings"),
-        ('{"settings": {"grades": []}, "listen": "x"}', "classes"),
+        ('{"settings": {"grades": []}, "listen": "x"}', "settings: grades: "),
         ('{"settings": {"grades": [{"name": "a", "objective_ms": "soon"}]}}', "grades.0.objective_ms"),
         ('{"settings": {"grades": [{"name": "a", "objective_ms": 1, "deadline_ms": 2}]}}', "listen"),
     ],
@@ -804,7 +804,7 @@
                 path.write_text(raw)
             for count in (1, 2):
                 rig.process.send_signal(signal.SIGHUP)
-                while sum("configuration is kept" in line for line in rig.log) < count:
+                while sum("configuration=kept" in line for line in rig.log) < count:
                     await asyncio.sleep(0.01)
             assert await rig.status(message()) == 200
             assert rig.directory.fake.closed == 0
--- a/tests/test_testbed_gateways.py
+++ b/tests/test_testbed_gateways.py
@@ -10,7 +10,7 @@
 from support.program import run_scenario
 
 from api_gateway.configuration import Configuration, parse
-from api_gateway.network import discovery as discovery_calls
+from api_gateway.network import discovery_policy
 from testbed.counter_server import CounterServer
 from testbed.discovery_server import DiscoveryServer
 from testbed.gateway_configuration import FleetConfiguration, create_instances, gateway_configuration
@@ -43,8 +43,8 @@
 ) -> None:
     """All become ready by discovery's list, count their requests and respond to each."""
     # All share one event loop with discovery: on a busy machine its responses would come after the timeouts.
-    for name in ("AGENT_S", "CALL_S", "DIAL_S", "PROGRESS_S"):
-        monkeypatch.setattr(discovery_calls, name, 60.0)
+    for name in ("AGENT_TIMEOUT_S", "RESPONSE_TIMEOUT_S", "CONNECT_TIMEOUT_S", "PROGRESS_TIMEOUT_S"):
+        monkeypatch.setattr(discovery_policy, name, 60.0)
 
     async def scenario() -> None:
         discovery, counter = DiscoveryServer(INSTANCES), CounterServer(50_000)
--- a/tests/test_testbed_servers.py
+++ b/tests/test_testbed_servers.py
@@ -45,7 +45,7 @@
         server = await serve(discovery.handle, discovery.traffic)
         ((status, body),) = await send_pipelined(server, "GET /v1/endpoints")
         full_list = decode_list(body)
-        assert status == 200 and full_list.whole and len(full_list.endpoints) == 30
+        assert status == 200 and full_list.is_full and len(full_list.endpoints) == 30
 
         long_poll = asyncio.create_task(
             send_pipelined(server, f"GET /v1/endpoints?after={full_list.generation}&wait_ms=20000")
@@ -60,7 +60,7 @@
             ]
         )
         changes = decode_list((await long_poll)[0][1])
-        assert not changes.whole and {e.name: e.status for e in changes.endpoints} == {
+        assert not changes.is_full and {e.name: e.status for e in changes.endpoints} == {
             removed.instanceId: EndpointStatus.REMOVED,
             "s-new": EndpointStatus.UP,
         }
