--- a/api_gateway/network/counter.py
+++ b/api_gateway/network/counter.py
@@ -319,11 +319,11 @@
         super().resume_writing()
         self._slot.flushed()
 
-    def replied(self, reply: Response, reusable: bool) -> None:
-        self._slot.replied(reply, reusable)
+    def response_received(self, response: Response, reusable: bool) -> None:
+        self._slot.replied(response, reusable)
 
-    def spoilt(self) -> None:
+    def malformed_response(self) -> None:
         self._slot.spoilt()
 
-    def lost(self) -> None:
+    def connection_closed(self) -> None:
         self._slot.lost()
--- a/api_gateway/network/discovery.py
+++ b/api_gateway/network/discovery.py
@@ -289,12 +289,12 @@
         self._owner = owner
         self.closed = False
 
-    def replied(self, reply: Response, reusable: bool) -> None:
-        self._owner.replied(self, reply, reusable)
+    def response_received(self, response: Response, reusable: bool) -> None:
+        self._owner.replied(self, response, reusable)
 
-    def spoilt(self) -> None:
+    def malformed_response(self) -> None:
         log.warning("discovery: an answer that cannot be read, the list is kept")
 
-    def lost(self) -> None:
+    def connection_closed(self) -> None:
         self.closed = True
         self._owner.lost(self)
--- a/api_gateway/network/response_parser.py
+++ b/api_gateway/network/response_parser.py
@@ -62,15 +62,15 @@
         self._size = 0
         self._begun = False
 
-    def replied(self, reply: Response, reusable: bool) -> None:
+    def response_received(self, response: Response, reusable: bool) -> None:
         """A whole answer to the oldest request; `reusable` if the connection may carry another."""
         raise NotImplementedError
 
-    def spoilt(self) -> None:
+    def malformed_response(self) -> None:
         """What came cannot be read while answers are due; the connection is being dropped."""
         raise NotImplementedError
 
-    def lost(self) -> None:
+    def connection_closed(self) -> None:
         """The connection is gone."""
         raise NotImplementedError
 
@@ -121,14 +121,14 @@
         if len(replies) > len(asked) or (self._begun and not self._due):
             sound = False
         for reply in asked:
-            self.replied(reply, sound and reply.keep_alive)
+            self.response_received(reply, sound and reply.keep_alive)
         if not sound:
             if self._due:
-                self.spoilt()
+                self.malformed_response()
             self.drop()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.lost()
+        self.connection_closed()
 
     # httptools; what these raise reaches data_received as an HttpParserError
 
--- a/api_gateway/network/upstream/pool.py
+++ b/api_gateway/network/upstream/pool.py
@@ -380,13 +380,13 @@
         of the connection, after which what is written may have run."""
         return not self.transport.is_closing() and not self._poll.poll(0)
 
-    def replied(self, reply: Response, reusable: bool) -> None:
+    def response_received(self, response: Response, reusable: bool) -> None:
         attempt, self.attempt = self.attempt, None
         if attempt is not None:
-            self._pool.replied(self, attempt, reply, reusable)
+            self._pool.replied(self, attempt, response, reusable)
 
-    def spoilt(self) -> None:
+    def malformed_response(self) -> None:
         self._pool.spoilt(self)
 
-    def lost(self) -> None:
+    def connection_closed(self) -> None:
         self._pool.closed(self)
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -524,7 +524,7 @@
             made(connection, transport)
 
         def lost(connection, exc: Exception | None) -> None:
-            connection.lost()
+            connection.connection_closed()
             ended.set()
 
         monkeypatch.setattr(counter_module._Connection, "connection_made", made_and_reset)
