--- a/api_gateway/network/dispatcher.py
+++ b/api_gateway/network/dispatcher.py
@@ -37,7 +37,8 @@
 from api_gateway.network.counter import CounterClient
 from api_gateway.network.discovery import ROUND_S, DiscoveryWatch, EndpointList
 from api_gateway.network.response_parser import Response
-from api_gateway.network.upstream.pool import Attempt, ConnectionPool
+from api_gateway.network.upstream.attempt import Attempt
+from api_gateway.network.upstream.pool import ConnectionPool
 
 log = logging.getLogger(__name__)
 
@@ -123,15 +124,20 @@
         self,
         config: Configuration,
         loop: asyncio.AbstractEventLoop,
-        hosts: type[ConnectionPool] = ConnectionPool,
+        pool_class: type[ConnectionPool] = ConnectionPool,
     ) -> None:
-        """`hosts`: what sends attempts; an emulator may stand in for the sockets."""
+        """`pool_class`: what sends attempts; an emulator may stand in for the sockets."""
         self.settings = config.settings
         self._loop = loop
         self._clock = Clock()
         self._gateway = Gateway(config.settings, config.seed)
-        self._hosts = hosts(
-            loop, upstream_sockets(config.sockets), config.dial_ms, config.idle_ms, self._ended, self._wanted
+        self._pool = pool_class(
+            loop=loop,
+            max_connections=upstream_sockets(config.sockets),
+            connect_timeout_ms=config.dial_ms,
+            idle_timeout_ms=config.idle_ms,
+            attempt_ended=self._ended,
+            client_waits=self._wanted,
         )
         known = config.known.generation if config.known.endpoints else None
         # A generator of its own for the network's jitter: the module's draws stay a function of its events.
@@ -163,7 +169,7 @@
         """Begin with the known list, then listen to discovery and the counter."""
         self._started = time.monotonic()
         self._apply(self._known, UpdateKind.CACHED)
-        self._hosts.start()
+        self._pool.start()
         self._discovery.start()
         if self._counter is not None:
             self._counter.start()
@@ -178,7 +184,7 @@
     def stop(self) -> None:
         """Close everything towards the back end."""
         self._discovery.stop()
-        self._hosts.stop()
+        self._pool.stop()
         if self._counter is not None:
             self._counter.stop()
 
@@ -190,7 +196,7 @@
 
     def is_ready(self) -> bool:
         """Whether requests can be served: hosts are known, by discovery's word if it speaks at all."""
-        if self.draining or not self._hosts.names():
+        if self.draining or not self._pool.endpoint_names():
             return False
         return self._heard or time.monotonic() - self._started > LIST_WAIT_S
 
@@ -309,7 +315,7 @@
         if request.out:
             for attempt in request.attempts:
                 if attempt is not None:
-                    self._hosts.withdraw(attempt)
+                    self._pool.withdraw(attempt)
 
     def _forget(self, request: _Open) -> None:
         if (
@@ -329,16 +335,16 @@
     def _apply(self, listing: EndpointList, kind: UpdateKind) -> None:
         gone = {s.name for s in listing.endpoints if s.status is EndpointStatus.REMOVED}
         if kind is not UpdateKind.CHANGES:  # a whole list replaces the old one
-            gone |= self._hosts.names() - {s.name for s in listing.endpoints}
-        self._hosts.update(
-            listing.addresses,
-            gone,
-            {s.name for s in listing.endpoints if s.status is not EndpointStatus.UP},
-            {s.name: s.started_at_ms for s in listing.endpoints},
+            gone |= self._pool.endpoint_names() - {s.name for s in listing.endpoints}
+        self._pool.update_endpoints(
+            addresses=listing.addresses,
+            removed=gone,
+            draining={s.name for s in listing.endpoints if s.status is not EndpointStatus.UP},
+            started_at_ms={s.name: s.started_at_ms for s in listing.endpoints},
         )
         if listing.endpoints or kind is not UpdateKind.CHANGES:
             self._post(EndpointUpdate(kind, listing.endpoints))
-        self._hosts.recall()  # after the module has heard: what comes back goes to another host
+        self._pool.withdraw_pending_connects()  # after the decisions have the list
 
     def _send(self, act: StartAttempt) -> None:
         request = self._requests.get(act.request_id)
@@ -356,25 +362,25 @@
         order = request.order
         now = time.monotonic()
         attempt = Attempt(
-            act.request_id,
-            number,
-            act.endpoint,
-            order.head,
-            order.body,
-            now,
-            now + wait_s,
-            now + act.write_timeout_ms / 1000,
+            request_id=act.request_id,
+            number=number,
+            endpoint=act.endpoint,
+            head=order.head,
+            body=order.body,
+            started_at=now,
+            deadline=now + wait_s,
+            write_deadline=now + act.write_timeout_ms / 1000,
         )
         request.attempts.append(attempt)
         request.out += 1
-        self._hosts.send(attempt)
+        self._pool.send(attempt)
 
     def _ended(self, attempt: Attempt, result: AttemptResult, reply: Response | None) -> None:
         request = self._requests[attempt.request_id]
         request.out -= 1
         # What lay unread while we stalled is not the host's latency.
         now = time.monotonic()
-        took = (now - attempt.sent_at) * 1000
+        took = (now - attempt.started_at) * 1000
         if reply is not None:
             took = max(took - self._behind_ms(now), 0.0)
         units = 0.0
@@ -394,7 +400,7 @@
         if request is not None and act.attempt < len(request.attempts):
             attempt = request.attempts[act.attempt]
             if attempt is not None:
-                self._hosts.cancel(attempt)
+                self._pool.cancel(attempt)
 
     # --- The module ---------------------------------------------------------------------------------------
 
--- a/api_gateway/network/response_parser.py
+++ b/api_gateway/network/response_parser.py
@@ -74,7 +74,7 @@
         """The connection is gone."""
         raise NotImplementedError
 
-    def begun(self) -> bool:
+    def response_started(self) -> bool:
         """Whether any byte of the answer that is due has come."""
         return self._taken > 0
 
--- /dev/null
+++ b/api_gateway/network/upstream/connection.py
@@ -0,0 +1,70 @@
+"""One connection to an upstream endpoint."""
+
+from __future__ import annotations
+
+import asyncio
+import select
+import time
+from typing import TYPE_CHECKING
+
+from api_gateway.network.response_parser import Response, ResponseProtocol
+
+if TYPE_CHECKING:
+    from api_gateway.network.upstream.attempt import Attempt
+    from api_gateway.network.upstream.endpoint import UpstreamEndpoint
+    from api_gateway.network.upstream.pool import ConnectionPool
+
+
+class UpstreamConnection(ResponseProtocol):
+    """A connection that carries one attempt at a time and reports to its pool.
+
+    Attributes:
+        endpoint: What it is connected to.
+        attempt: The attempt whose response is awaited; None while idle.
+        reused: Whether `attempt` is not the first one on it.
+        idle_since: When its last response was complete, in s of event-loop time; 0 before the first one.
+    """
+
+    def __init__(self, pool: ConnectionPool, endpoint: UpstreamEndpoint) -> None:
+        super().__init__()
+        self._pool = pool
+        self.endpoint = endpoint
+        self.attempt: Attempt | None = None
+        self.reused = False
+        self.idle_since = 0.0
+
+    def send(self, attempt: Attempt) -> None:
+        """Write the request of an attempt."""
+        self.attempt = attempt
+        attempt.connection = self
+        self.reused = self.idle_since > 0
+        self.write(attempt.request_bytes(time.monotonic()))
+
+    def is_silent(self) -> bool:
+        """Whether it is open and nothing has come that is unread.
+
+        Unread data would be taken for the next response. Behind an unread end of the connection, a request
+        that is written may have run.
+        """
+        return not self.transport.is_closing() and not self._poll.poll(0)
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register with the pool."""
+        super().connection_made(transport)
+        self._poll = select.poll()
+        self._poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
+        self._pool.connection_opened(self)
+
+    def response_received(self, response: Response, reusable: bool) -> None:
+        """Pass a response to the pool, unless its attempt has been given up."""
+        attempt, self.attempt = self.attempt, None
+        if attempt is not None:
+            self._pool.response_received(self, attempt, response, reusable)
+
+    def malformed_response(self) -> None:
+        """Tell the pool that the response cannot be used."""
+        self._pool.malformed_response(self)
+
+    def connection_closed(self) -> None:
+        """Tell the pool that the connection is gone."""
+        self._pool.connection_closed(self)
--- /dev/null
+++ b/api_gateway/network/upstream/endpoint.py
@@ -0,0 +1,57 @@
+"""One process of an upstream endpoint, with its idle connections."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from api_gateway.network.upstream.connection import UpstreamConnection
+
+
+@dataclass(slots=True, eq=False)
+class UpstreamEndpoint:
+    """One process of an endpoint: another address or a later start makes another object.
+
+    Attributes:
+        name: Its instance id.
+        address: Host and port.
+        started_at_ms: When the process started, in ms of Unix time.
+        draining: Whether it finishes what it has and takes no new requests.
+        idle: Its idle connections, the one used last at the end.
+    """
+
+    name: str
+    address: tuple[str, int]
+    started_at_ms: float
+    draining: bool = False
+    idle: list[UpstreamConnection] = field(default_factory=list)
+
+    def is_replaced_by(self, address: tuple[str, int], started_at_ms: float) -> bool:
+        """Whether an entry of the endpoint list means another process than this one."""
+        return self.address != address or started_at_ms > self.started_at_ms
+
+    def pop_settled(self, idle_before: float) -> UpstreamConnection | None:
+        """Remove and return the idle connection that was used last, of those that are settled.
+
+        Args:
+            idle_before: Event-loop time in s; a connection must have become idle by then, so that bytes
+                which follow its last response have had time to arrive.
+        """
+        for i in range(len(self.idle) - 1, -1, -1):
+            connection = self.idle[i]
+            if connection.idle_since <= idle_before and connection.is_silent():
+                del self.idle[i]
+                return connection
+        return None
+
+    def retire_idle(self, idle_before: float) -> None:
+        """Close the connections that became idle before an event-loop time in s."""
+        while self.idle and self.idle[0].idle_since < idle_before:
+            self.idle.pop(0).drop()
+
+    def close_idle(self) -> None:
+        """Close all idle connections."""
+        idle, self.idle = self.idle, []
+        for connection in idle:
+            connection.drop()
--- a/api_gateway/network/upstream/pool.py
+++ b/api_gateway/network/upstream/pool.py
@@ -1,107 +1,62 @@
-"""Upstream hosts: connections and the pool of each, socket results as outcomes."""
+"""The pool of connections to all upstream endpoints: sends attempts and reports how each one ended."""
 
 from __future__ import annotations
 
 import asyncio
 import math
-import select
 import time
 from collections.abc import Callable
 from functools import partial
 
 from api_gateway.model.results import AttemptResult
-from api_gateway.network.response_parser import Response, ResponseProtocol
-
-GRACE_S = 0.002  # a turn of the loop or two, in which what has arrived is read before a time-out counts
-IDLE_SHARE = 0.5  # idle connections are retired after this part of the host's idle limit
-SWEEP_S = 1.0
-DIALS = 64  # dials under way at once
-REST_S = 0.01  # an answered connection is used again after this: what follows an answer late is seen by then
-
-
-class Attempt:
-    """One Send until its one outcome. Times are in seconds by time.monotonic."""
-
-    __slots__ = (
-        "request_id",
-        "number",
-        "endpoint",
-        "head",
-        "body",
-        "sent_at",
-        "until",
-        "write_by",
-        "connection",
-        "dial",
-        "timer",
-        "dial_timer",
-        "write_timer",
-        "done",
-    )
-
-    def __init__(
-        self,
-        request: str,
-        number: int,
-        server: str,
-        head: bytes,
-        body: bytes,
-        sent_at: float,
-        until: float,
-        write_by: float = math.inf,
-    ) -> None:
-        """`until`: when we stop waiting for its answer; `write_by`: its last byte is written by then, or
-        nothing of it counts."""
-        self.request_id, self.number, self.endpoint = request, number, server
-        self.head, self.body = head, body
-        self.sent_at, self.until, self.write_by = sent_at, until, write_by
-        self.connection: _Connection | None = None
-        self.dial: asyncio.Task | None = None
-        self.timer: asyncio.TimerHandle | None = None
-        self.dial_timer: asyncio.TimerHandle | None = None
-        self.write_timer: asyncio.TimerHandle | None = None  # runs while its last byte is unwritten
-        self.done = False
-
-    def payload(self, now: float) -> bytes:
-        """What goes to the host at `now`; the time told is what is left then, not at the decision."""
-        return b"%bX-Deadline: %dm\r\n\r\n%b" % (self.head, max((self.until - now) * 1000, 1), self.body)
+from api_gateway.network.response_parser import Response
+from api_gateway.network.upstream.attempt import Attempt, result_of_response
+from api_gateway.network.upstream.connection import UpstreamConnection
+from api_gateway.network.upstream.endpoint import UpstreamEndpoint
 
-
-class _Host:
-    """One process of a host: another address or a later start is another one."""
-
-    __slots__ = ("name", "address", "born", "idle", "leaving")
-
-    def __init__(self, name: str, address: tuple[str, int], born: float) -> None:
-        self.name, self.address, self.born = name, address, born
-        self.leaving = False  # draining: what it has goes on, it gets nothing new
-        self.idle: list[_Connection] = []  # the freshest last
+MAX_PENDING_CONNECTS = 64
+READ_GRACE_S = 0.002  # a turn or two of the event loop
+SETTLE_TIME_S = 0.01  # a connection is idle so long before it is used again
+IDLE_TIMEOUT_SHARE = 0.5  # idle connections are closed after this part of the endpoint's idle timeout
+RETIRE_INTERVAL_S = 1.0
 
 
 class ConnectionPool:
-    """Sends attempts and reports how each one ended, exactly once."""
+    """Sends each attempt on an idle connection or a new one; each ends in exactly one `AttemptResult`.
+
+    Args:
+        loop: The event loop.
+        max_connections: Bound on the connections to all endpoints, with the connects under way.
+        connect_timeout_ms: How long a connect may take.
+        idle_timeout_ms: After how long the endpoints close an idle connection.
+        attempt_ended: Called once for each attempt, with its response if it got a complete one.
+        client_waits: Tells whether an attempt's client is still there; called when a connect has succeeded.
+    """
 
     def __init__(
         self,
+        *,
         loop: asyncio.AbstractEventLoop,
-        most: int,
-        dial_ms: float,
-        idle_ms: float,
-        ended: Callable[[Attempt, AttemptResult, Response | None], None],
-        wanted: Callable[[Attempt], bool],
+        max_connections: int,
+        connect_timeout_ms: float,
+        idle_timeout_ms: float,
+        attempt_ended: Callable[[Attempt, AttemptResult, Response | None], None],
+        client_waits: Callable[[Attempt], bool],
     ) -> None:
-        """`wanted`: whether somebody waits for an attempt, asked when a dial has come up."""
-        self._loop, self._most, self._ended, self._wanted = loop, most, ended, wanted
-        self._dial_s, self._idle_s = dial_ms / 1000, IDLE_SHARE * idle_ms / 1000
-        self._hosts: dict[str, _Host] = {}
-        self._connections: set[_Connection] = set()
-        self._dialling: dict[Attempt, _Host] = {}
-        self._dials = 0
+        self._loop = loop
+        self._max_connections = max_connections
+        self._connect_timeout_s = connect_timeout_ms / 1000
+        self._idle_timeout_s = IDLE_TIMEOUT_SHARE * idle_timeout_ms / 1000
+        self._attempt_ended = attempt_ended
+        self._client_waits = client_waits
+        self._endpoints: dict[str, UpstreamEndpoint] = {}
+        self._connections: set[UpstreamConnection] = set()
+        self._pending_connects: dict[Attempt, UpstreamEndpoint] = {}
         self._stopped = False
 
     def start(self) -> None:
-        """Begin to retire idle connections."""
-        self._loop.call_later(SWEEP_S, self._sweep)
+        """Begin to close connections that have been idle for long."""
+        self._loop.call_later(RETIRE_INTERVAL_S, self._retire_idle_connections)
 
     def stop(self) -> None:
         """Close all connections."""
@@ -109,284 +64,248 @@
         for connection in list(self._connections):
             connection.drop()
 
-    def update(
-        self, addresses: dict[str, tuple[str, int]], gone: set[str], leaving: set[str], born: dict[str, float]
+    # --- Endpoints ----------------------------------------------------------------------------------------
+
+    def update_endpoints(
+        self,
+        *,
+        addresses: dict[str, tuple[str, int]],
+        removed: set[str],
+        draining: set[str],
+        started_at_ms: dict[str, float],
     ) -> None:
-        """Where to dial each host, which drain, and which to dial no more. What is written goes on.
+        """Add, replace, drain and remove endpoints. Attempts that are under way there go on.
 
-        `born`: when each started. A dial begun for the previous process must not be used: it would take a
-        cold host's work past its budget.
+        Args:
+            addresses: Host and port of each endpoint that is new or may have changed, by name.
+            removed: Names of the endpoints to remove.
+            draining: Names of the endpoints that take no new requests.
+            started_at_ms: When the process of each started, in ms of Unix time.
         """
-        for name in gone:
-            host = self._hosts.pop(name, None)
-            if host is not None:
-                self._close_idle(host)
+        for name in removed:
+            endpoint = self._endpoints.pop(name, None)
+            if endpoint is not None:
+                endpoint.close_idle()
         for name, address in addresses.items():
-            host = self._hosts.get(name)
-            if host is None or host.address != address or born.get(name, 0.0) > host.born:
-                if host is not None:
-                    self._close_idle(host)
-                self._hosts[name] = _Host(name, address, born.get(name, 0.0))
-            self._hosts[name].leaving = name in leaving
+            self._add_or_replace(name, address, started_at_ms.get(name, 0.0))
+            self._endpoints[name].draining = name in draining
 
-    def recall(self) -> None:
-        """End the dials to hosts that take nothing new: their requests go elsewhere without waiting for them.
+    def _add_or_replace(self, name: str, address: tuple[str, int], started_at_ms: float) -> None:
+        endpoint = self._endpoints.get(name)
+        if endpoint is not None:
+            if not endpoint.is_replaced_by(address, started_at_ms):
+                return
+            endpoint.close_idle()
+        self._endpoints[name] = UpstreamEndpoint(name, address, started_at_ms)
 
-        The module must have been told of the list first, or it would choose the same host again.
+    def withdraw_pending_connects(self) -> None:
+        """Withdraw the attempts that are connecting to endpoints which accept no new requests.
+
+        To be called after the decisions have got the new list, or they would choose the same endpoint again.
         """
-        for attempt, host in list(self._dialling.items()):
-            if not self._takes(host):
-                self._abandon(attempt)
-                self._end(attempt, AttemptResult.WITHDRAWN)
+        for attempt, endpoint in list(self._pending_connects.items()):
+            if not self._accepts_new_requests(endpoint):
+                self._abort(attempt, AttemptResult.WITHDRAWN)
+
+    def endpoint_names(self) -> set[str]:
+        """Return the names of the endpoints that can be connected to."""
+        return set(self._endpoints)
 
-    def _takes(self, host: _Host) -> bool:
-        """Whether anything new may be written to a host, as it stood when an attempt was begun."""
-        return self._hosts.get(host.name) is host and not host.leaving
+    def _accepts_new_requests(self, endpoint: UpstreamEndpoint) -> bool:
+        """Whether an endpoint is still the listed process and does not drain.
 
-    def names(self) -> set[str]:
-        """The hosts that can be dialled."""
-        return set(self._hosts)
+        What was decided for an earlier process must not go to its successor, whose budget is that of a cold
+        endpoint.
+        """
+        return self._endpoints.get(endpoint.name) is endpoint and not endpoint.draining
+
+    # --- Attempts -----------------------------------------------------------------------------------------
 
     def send(self, attempt: Attempt) -> None:
-        """Write an attempt to an idle connection, or to a new one."""
-        host = self._hosts.get(attempt.endpoint)
-        if host is None:
+        """Write an attempt to an idle connection, or connect for it."""
+        endpoint = self._endpoints.get(attempt.endpoint)
+        if endpoint is None:
             self._end(attempt, AttemptResult.CONNECT_FAILED)
             return
         now = time.monotonic()
-        if not self._takes(host) or now > attempt.write_by:
+        if not self._accepts_new_requests(endpoint) or now > attempt.write_deadline:
             self._end(attempt, AttemptResult.WITHDRAWN)
             return
-        attempt.timer = self._loop.call_later(max(attempt.until - now, 0.0), self._overdue, attempt)
-        connection = self._rested(host)
+        attempt.response_timer = self._loop.call_later(
+            max(attempt.deadline - now, 0.0), self._deadline_reached, attempt
+        )
+        connection = endpoint.pop_settled(self._loop.time() - SETTLE_TIME_S)
         if connection is not None:
-            self._begin(attempt, connection)
+            self._send_on(connection, attempt)
         else:
-            self._dial(host, attempt)
-
-    def _rested(self, host: _Host) -> _Connection | None:
-        """The freshest idle connection on which nothing has followed its last answer."""
-        before = self._loop.time() - REST_S
-        for i in range(len(host.idle) - 1, -1, -1):
-            connection = host.idle[i]
-            if connection.idle_since <= before and connection.quiet():
-                del host.idle[i]
-                return connection
-        return None
+            self._connect(endpoint, attempt)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Give an attempt up by ending its connection."""
+        """Give an attempt up by closing its connection."""
         if not attempt.done:
-            self._abandon(attempt)
-            self._end(attempt, AttemptResult.CANCELLED)
+            self._abort(attempt, AttemptResult.CANCELLED)
 
-    def _dial(self, host: _Host, attempt: Attempt) -> None:
-        # Guards the descriptors. The bound is ours, so what it stops is not told as the host's failure.
-        if self._dials >= DIALS or not self._room():
-            self._end(attempt, AttemptResult.LOCAL_LIMIT)
-            return
-        self._dials += 1
-        self._dialling[attempt] = host
-        attempt.dial = self._loop.create_task(
-            self._loop.create_connection(lambda: _Connection(self, host), *host.address)
-        )
-        attempt.dial.add_done_callback(partial(self._dialled, attempt))
-        attempt.dial_timer = self._loop.call_later(self._dial_s, self._dial_overdue, attempt)
-        self._watch_write(attempt)
+    def withdraw(self, attempt: Attempt) -> None:
+        """End an attempt whose last byte is unsent, so that it never ran. Any other goes on."""
+        if not attempt.done and attempt.has_unsent_bytes():
+            self._abort(attempt, AttemptResult.WITHDRAWN)
+
+    def _send_on(self, connection: UpstreamConnection, attempt: Attempt) -> None:
+        connection.send(attempt)
+        if connection.unsent:
+            self._start_write_timer(attempt)
 
-    def _watch_write(self, attempt: Attempt) -> None:
-        """End an attempt that is not written whole by its last moment: its request is answered then."""
-        if attempt.write_by < math.inf and attempt.write_timer is None:
+    def _start_write_timer(self, attempt: Attempt) -> None:
+        if attempt.write_deadline < math.inf and attempt.write_timer is None:
             attempt.write_timer = self._loop.call_later(
-                max(attempt.write_by - time.monotonic(), 0.0), self.withdraw, attempt
+                max(attempt.write_deadline - time.monotonic(), 0.0), self.withdraw, attempt
             )
 
-    def withdraw(self, attempt: Attempt) -> None:
-        """End an attempt whose last byte is not written: it never ran. Any other goes on."""
-        if not attempt.done and (attempt.connection is None or attempt.connection.unsent):
-            self._abandon(attempt)
-            self._end(attempt, AttemptResult.WITHDRAWN)
+    def _deadline_reached(self, attempt: Attempt) -> None:
+        # The loop runs timers before it reads sockets: after a stall the response may be here, but unread.
+        attempt.response_timer = self._loop.call_later(READ_GRACE_S, self._time_out, attempt)
 
-    def _holds(self, attempt: Attempt, host: _Host) -> bool:
-        """Whether what a decision went by still holds when its dial has come up."""
-        return self._takes(host) and time.monotonic() <= attempt.write_by and self._wanted(attempt)
+    def _time_out(self, attempt: Attempt) -> None:
+        if attempt.connection is None:
+            result = AttemptResult.CONNECT_FAILED
+        elif attempt.has_unsent_bytes():
+            result = AttemptResult.NOT_SENT
+        else:
+            result = AttemptResult.TIMED_OUT
+        self._abort(attempt, result)
 
-    def _begin(self, attempt: Attempt, connection: _Connection) -> None:
-        connection.begin(attempt)
-        if connection.unsent:
-            self._watch_write(attempt)
+    def _abort(self, attempt: Attempt, result: AttemptResult) -> None:
+        attempt.abort()
+        self._end(attempt, result)
+
+    def _end(self, attempt: Attempt, result: AttemptResult, response: Response | None = None) -> None:
+        """Report the one result of an attempt; later ones are ignored."""
+        if attempt.done:
+            return
+        attempt.done = True
+        attempt.connection = None
+        attempt.cancel_timers()
+        self._attempt_ended(attempt, result, response)
 
-    def _room(self) -> bool:
-        if len(self._connections) + self._dials < self._most:
+    # --- Connects -----------------------------------------------------------------------------------------
+
+    def _connect(self, endpoint: UpstreamEndpoint, attempt: Attempt) -> None:
+        if len(self._pending_connects) >= MAX_PENDING_CONNECTS or not self._make_room():
+            self._end(attempt, AttemptResult.LOCAL_LIMIT)
+            return
+        self._pending_connects[attempt] = endpoint
+        attempt.connect_task = self._loop.create_task(
+            self._loop.create_connection(lambda: UpstreamConnection(self, endpoint), *endpoint.address)
+        )
+        attempt.connect_task.add_done_callback(partial(self._connect_ended, attempt))
+        attempt.connect_timer = self._loop.call_later(
+            self._connect_timeout_s, self._connect_deadline_reached, attempt
+        )
+        self._start_write_timer(attempt)
+
+    def _make_room(self) -> bool:
+        """Keep to the bound on connections, if need be by closing the one that has been idle longest.
+
+        Returns:
+            Whether one more connection may be opened.
+        """
+        if len(self._connections) + len(self._pending_connects) < self._max_connections:
             return True
-        idle = [host for host in self._hosts.values() if host.idle]
-        if idle:  # the connection that has stood idle longest gives way
-            min(idle, key=lambda host: host.idle[0].idle_since).idle.pop(0).drop()
-        return bool(idle)
-
-    def _dialled(self, attempt: Attempt, task: asyncio.Task) -> None:
-        self._dials -= 1
-        host = self._dialling.pop(attempt)
-        attempt.dial = None
-        attempt.dial_timer.cancel()
+        with_idle = [endpoint for endpoint in self._endpoints.values() if endpoint.idle]
+        if with_idle:
+            min(with_idle, key=lambda endpoint: endpoint.idle[0].idle_since).idle.pop(0).drop()
+        return bool(with_idle)
+
+    def _connect_ended(self, attempt: Attempt, task: asyncio.Task) -> None:
+        endpoint = self._pending_connects.pop(attempt)
+        attempt.connect_task = None
+        attempt.connect_timer.cancel()
         error = None if task.cancelled() else task.exception()
         if task.cancelled() or (error is not None and not isinstance(error, ConnectionResetError)):
             self._end(attempt, AttemptResult.CONNECT_FAILED)
         elif error is not None:
             self._end(attempt, AttemptResult.NOT_SENT)
         else:
-            self._up(attempt, host, task.result()[1])
+            self._connected(attempt, endpoint, task.result()[1])
 
-    def _up(self, attempt: Attempt, host: _Host, connection: _Connection) -> None:
+    def _connected(
+        self, attempt: Attempt, endpoint: UpstreamEndpoint, connection: UpstreamConnection
+    ) -> None:
         if attempt.done or self._stopped:
             connection.drop()
-        elif not self._holds(attempt, host):  # dials come up late
+        elif not self._may_still_be_sent(attempt, endpoint):
             connection.drop()
-            self._end(attempt, AttemptResult.WITHDRAWN)  # unless the client's leaving has ended it already
-        elif connection.transport.is_closing():  # it broke before this turn of the loop
+            self._end(attempt, AttemptResult.WITHDRAWN)
+        elif connection.transport.is_closing():  # it broke between the connect and this callback
             self._end(attempt, AttemptResult.NOT_SENT)
         else:
-            self._begin(attempt, connection)
-
-    def _overdue(self, attempt: Attempt) -> None:
-        # Guards against our own stall: the answer may be here and unread. Timers run before sockets are read,
-        # so the time-out itself waits for one more turn of the loop.
-        attempt.timer = self._loop.call_later(GRACE_S, self._time_out, attempt)
-
-    def _time_out(self, attempt: Attempt) -> None:
-        connection = attempt.connection
-        if connection is None:
-            result = AttemptResult.CONNECT_FAILED
-        else:
-            result = AttemptResult.NOT_SENT if connection.unsent else AttemptResult.TIMED_OUT
-        self._abandon(attempt)
-        self._end(attempt, result)
-
-    def _dial_overdue(self, attempt: Attempt) -> None:
-        attempt.dial_timer = self._loop.call_later(GRACE_S, self._dial_time_out, attempt)
-
-    def _dial_time_out(self, attempt: Attempt) -> None:
-        if attempt.dial is not None:
-            self._abandon(attempt)
-            self._end(attempt, AttemptResult.CONNECT_FAILED)
+            self._send_on(connection, attempt)
+
+    def _may_still_be_sent(self, attempt: Attempt, endpoint: UpstreamEndpoint) -> bool:
+        """Whether the reasons to send an attempt still hold after its connect."""
+        return (
+            self._accepts_new_requests(endpoint)
+            and time.monotonic() <= attempt.write_deadline
+            and self._client_waits(attempt)
+        )
 
-    @staticmethod
-    def _abandon(attempt: Attempt) -> None:
-        """End the connection of an attempt: it is never used again."""
-        if attempt.dial is not None:
-            attempt.dial.cancel()
-        if attempt.connection is not None:
-            attempt.connection.attempt = None
-            attempt.connection.drop()
+    def _connect_deadline_reached(self, attempt: Attempt) -> None:
+        attempt.connect_timer = self._loop.call_later(READ_GRACE_S, self._connect_timed_out, attempt)
 
-    def _end(self, attempt: Attempt, result: AttemptResult, reply: Response | None = None) -> None:
-        if attempt.done:
-            return
-        attempt.done = True
-        attempt.connection = None
-        for timer in (attempt.timer, attempt.write_timer):
-            if timer is not None:
-                timer.cancel()
-        self._ended(attempt, result, reply)
+    def _connect_timed_out(self, attempt: Attempt) -> None:
+        if attempt.connect_task is not None:
+            self._abort(attempt, AttemptResult.CONNECT_FAILED)
 
-    # From connections
+    # --- Connections --------------------------------------------------------------------------------------
 
-    def opened(self, connection: _Connection) -> None:
-        """A connection is up."""
+    def connection_opened(self, connection: UpstreamConnection) -> None:
+        """Count a new connection."""
         self._connections.add(connection)
 
-    def closed(self, connection: _Connection) -> None:
-        """A connection is gone: an attempt on it never ran unless its last byte was written."""
+    def connection_closed(self, connection: UpstreamConnection) -> None:
+        """Forget a connection, and end the attempt on it."""
         self._connections.discard(connection)
-        if connection in connection.host.idle:
-            connection.host.idle.remove(connection)
+        endpoint = connection.endpoint
+        if connection in endpoint.idle:
+            endpoint.idle.remove(connection)
         attempt, connection.attempt = connection.attempt, None
         if attempt is None:
             return
         if connection.unsent:
             self._end(attempt, AttemptResult.NOT_SENT)
-        elif connection.kept and not connection.begun():
-            # The freshest one kept was dead, and nobody had said so: the older ones are no better.
-            self._close_idle(connection.host)
+        elif connection.reused and not connection.response_started():
+            # The connection used last was dead and the endpoint had not said so: older ones are no better.
+            endpoint.close_idle()
             self._end(attempt, AttemptResult.STALE_CONNECTION)
         else:
             self._end(attempt, AttemptResult.CONNECTION_RESET)
 
-    def replied(self, connection: _Connection, attempt: Attempt, reply: Response, reusable: bool) -> None:
-        """A whole answer: the connection is free again, the attempt is over."""
-        host = connection.host
-        if reusable and not connection.unsent and self._hosts.get(host.name) is host:
-            connection.idle_since = self._loop.time()
-            host.idle.append(connection)
-        else:
-            connection.drop()
-        self._end(attempt, _result(reply), reply)
+    def response_received(
+        self, connection: UpstreamConnection, attempt: Attempt, response: Response, reusable: bool
+    ) -> None:
+        """Release the connection, and end the attempt with its complete response."""
+        self._release(connection, reusable)
+        self._end(attempt, result_of_response(response), response)
 
-    def spoilt(self, connection: _Connection) -> None:
-        """What came is no answer: the attempt may have run."""
+    def malformed_response(self, connection: UpstreamConnection) -> None:
+        """End the attempt on a connection whose response cannot be used; it may have run."""
         attempt, connection.attempt = connection.attempt, None
         if attempt is not None:
             self._end(attempt, AttemptResult.MALFORMED_RESPONSE)
 
-    def _close_idle(self, host: _Host) -> None:
-        idle, host.idle = host.idle, []
-        for connection in idle:
+    def _release(self, connection: UpstreamConnection, reusable: bool) -> None:
+        endpoint = connection.endpoint
+        if reusable and not connection.unsent and self._endpoints.get(endpoint.name) is endpoint:
+            connection.idle_since = self._loop.time()
+            endpoint.idle.append(connection)
+        else:
             connection.drop()
 
-    def _sweep(self) -> None:
-        # Guards against writing to a connection that the host is about to close: that ends as a reset, after
-        # which the request may have run.
+    def _retire_idle_connections(self) -> None:
+        # A request written while the endpoint closes its side would end in a reset and may have run.
         if self._stopped:
             return
-        before = self._loop.time() - self._idle_s
-        for host in self._hosts.values():
-            while host.idle and host.idle[0].idle_since < before:
-                host.idle.pop(0).drop()
-        self._loop.call_later(SWEEP_S, self._sweep)
-
-
-def _result(reply: Response) -> AttemptResult:
-    if reply.status == 200:
-        return AttemptResult.OK
-    if reply.status in (503, 504) and reply.headers.get(b"x-not-run") == b"1":
-        return AttemptResult.OVERLOADED
-    return AttemptResult.ERROR
-
-
-class _Connection(ResponseProtocol):
-    """One connection to a host; carries one attempt at a time."""
-
-    def __init__(self, pool: ConnectionPool, host: _Host) -> None:
-        super().__init__()
-        self._pool, self.host = pool, host
-        self.attempt: Attempt | None = None
-        self.kept = False  # the attempt is not the first one on it
-        self.idle_since = 0.0
-
-    def begin(self, attempt: Attempt) -> None:
-        """Write an attempt's request."""
-        self.attempt, attempt.connection = attempt, self
-        self.kept = self.idle_since > 0
-        self.write(attempt.payload(time.monotonic()))
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        super().connection_made(transport)
-        self._poll = select.poll()
-        self._poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
-        self._pool.opened(self)
-
-    def quiet(self) -> bool:
-        """Whether nothing has come that is still unread: data that would pass for the next answer, or the end
-        of the connection, after which what is written may have run."""
-        return not self.transport.is_closing() and not self._poll.poll(0)
-
-    def response_received(self, response: Response, reusable: bool) -> None:
-        attempt, self.attempt = self.attempt, None
-        if attempt is not None:
-            self._pool.replied(self, attempt, response, reusable)
-
-    def malformed_response(self) -> None:
-        self._pool.spoilt(self)
-
-    def connection_closed(self) -> None:
-        self._pool.closed(self)
+        idle_before = self._loop.time() - self._idle_timeout_s
+        for endpoint in self._endpoints.values():
+            endpoint.retire_idle(idle_before)
+        self._loop.call_later(RETIRE_INTERVAL_S, self._retire_idle_connections)
--- a/testbed/hollow.py
+++ b/testbed/hollow.py
@@ -17,7 +17,7 @@
 from api_gateway.model.results import AttemptResult
 from api_gateway.network.dispatcher import Dispatcher, InboundRequest
 from api_gateway.network.response_parser import Response
-from api_gateway.network.upstream.pool import Attempt
+from api_gateway.network.upstream.attempt import Attempt
 from testbed import configuration
 from testbed.hosts import HostTimes
 from testbed.latency import Added
@@ -36,14 +36,15 @@
 
     def __init__(
         self,
+        *,
         loop: asyncio.AbstractEventLoop,
-        most: int,
-        dial_ms: float,
-        idle_ms: float,
-        ended: Callable[[Attempt, AttemptResult, Response | None], None],
-        wanted: Callable[[Attempt], bool],
+        max_connections: int,
+        connect_timeout_ms: float,
+        idle_timeout_ms: float,
+        attempt_ended: Callable[[Attempt, AttemptResult, Response | None], None],
+        client_waits: Callable[[Attempt], bool],
     ) -> None:
-        self._loop, self._ended, self._idle_s = loop, ended, idle_ms / 2000
+        self._loop, self._ended, self._idle_s = loop, attempt_ended, idle_timeout_ms / 2000
         self._names: dict[str, bool] = {}  # whether it takes anything new
         self._free: dict[str, deque[float]] = {}  # when each free connection was freed
         self._out = 0
@@ -55,20 +56,25 @@
     def stop(self) -> None:
         """Nothing to close."""
 
-    def update(
-        self, addresses: dict[str, tuple[str, int]], gone: set[str], leaving: set[str], born: dict[str, float]
+    def update_endpoints(
+        self,
+        *,
+        addresses: dict[str, tuple[str, int]],
+        removed: set[str],
+        draining: set[str],
+        started_at_ms: dict[str, float],
     ) -> None:
         """Which hosts there are, and which of them drain."""
-        for name in gone:
+        for name in removed:
             self._names.pop(name, None)
             self._free.pop(name, None)
         for name in addresses:
-            self._names[name] = name not in leaving
+            self._names[name] = name not in draining
 
-    def recall(self) -> None:
+    def withdraw_pending_connects(self) -> None:
         """A dial takes no time worth ending here."""
 
-    def names(self) -> set[str]:
+    def endpoint_names(self) -> set[str]:
         """The hosts that can be dialled."""
         return set(self._names)
 
@@ -155,7 +161,7 @@
 
     def connections(self) -> tuple[int, int]:
         """Open connections to hosts, and dials so far."""
-        return self._hosts.connections(), self._hosts.dials
+        return self._pool.connections(), self._pool.dials
 
     def generation(self) -> int:
         """Of the list that it knows, 0 for none."""
--- a/tests/test_acceptance_terms.py
+++ b/tests/test_acceptance_terms.py
@@ -66,13 +66,13 @@
 
     async def scenario() -> None:
         host = FakeServer(lambda seen: reply(b"served"))
-        monkeypatch.setattr(ConnectionPool, "_watch_write", lambda self, attempt: None)
+        monkeypatch.setattr(ConnectionPool, "_start_write_timer", lambda self, attempt: None)
         dispatcher, script, held, client = await dialling(
             monkeypatch, host, FailRequest, write_timeout_ms=60_000
         )
         await host.until(lambda fake: fake.opened == 1)
-        (attempt,) = dispatcher._hosts._dialling
-        attempt.write_by = time.monotonic() - 0.001  # the window is over
+        (attempt,) = dispatcher._pool._pending_connects
+        attempt.write_deadline = time.monotonic() - 0.001  # the window is over
         held.let_up.set()
         assert await client.got.get() == 502
         assert script.outcomes() == [AttemptResult.WITHDRAWN]
@@ -89,8 +89,8 @@
     async def scenario() -> None:
         host = FakeServer(lambda seen: reply(b"served"))
         dispatcher, script = await core_with(monkeypatch, host)
-        dispatcher._hosts._loop = Held(dispatcher._loop)  # never comes up
-        dispatcher._hosts._dial_s = 60.0
+        dispatcher._pool._loop = Held(dispatcher._loop)  # never comes up
+        dispatcher._pool._connect_timeout_s = 60.0
         client, began = Answers(), time.monotonic()
         script.plan[RequestReceived] = [StartAttempt("r1", "s-0", 5000, write_timeout_ms=30)]
         script.plan[AttemptEnded] = [FailRequest("r1")]
@@ -123,7 +123,7 @@
     order.body = b"x" * 16_000_000
     script.plan[RequestReceived] = [StartAttempt("r1", "s-0", 5000, **send)]
     rid = dispatcher.submit(client, order)
-    while not any(c.unsent for c in dispatcher._hosts._connections):
+    while not any(c.unsent for c in dispatcher._pool._connections):
         await asyncio.sleep(0)
     return rid
 
@@ -159,7 +159,7 @@
         while not script.outcomes():
             await asyncio.sleep(0)
         assert script.outcomes() == [AttemptResult.WITHDRAWN]
-        while dispatcher._hosts._connections:  # ended, with what it still held
+        while dispatcher._pool._connections:  # ended, with what it still held
             await asyncio.sleep(0)
         host.stop()
 
@@ -170,12 +170,12 @@
     async def scenario() -> None:
         host = FakeServer(lambda seen: reply(b"served"))
         dispatcher, script = await core_with(monkeypatch, host)
-        dispatcher._hosts._loop = held = Held(dispatcher._loop)
+        dispatcher._pool._loop = held = Held(dispatcher._loop)
         script.plan[RequestReceived] = [StartAttempt("r1", "s-0", 2000)]
         client = Answers()
         dispatcher.submit(client, an_order())
-        (attempt,) = dispatcher._hosts._dialling
-        attempt.until, attempt.sent_at = attempt.until - 1.5, attempt.sent_at - 1.5  # a slow dial
+        (attempt,) = dispatcher._pool._pending_connects
+        attempt.deadline, attempt.started_at = attempt.deadline - 1.5, attempt.started_at - 1.5  # a slow dial
         held.let_up.set()
         assert await client.got.get() == 200
         assert int(host.seen[0].headers["x-deadline"].removesuffix("m")) <= 500
@@ -463,9 +463,9 @@
         if begun:
             # The outcome and the client's end lie unread together, and the outcome is handled first.
             attempt = dispatcher._requests[rid].attempts[0]
-            dispatcher._hosts._abandon(attempt)
+            attempt.abort()
             script.plan[AttemptEnded] = [StartAttempt(rid, "s-0", 5000)]
-            dispatcher._hosts._end(
+            dispatcher._pool._end(
                 attempt,
                 AttemptResult.TIMED_OUT if way == "after a time-out" else AttemptResult.CONNECTION_RESET,
             )
@@ -507,7 +507,7 @@
         async def scenario(read: bool = read) -> None:
             host = FakeServer(lambda seen: None)
             dispatcher, script = await core_with(monkeypatch, host)
-            dispatcher._hosts._loop = held = Held(dispatcher._loop)
+            dispatcher._pool._loop = held = Held(dispatcher._loop)
             front = Front(dispatcher, script, host)
             script.plan[RequestReceived] = [StartAttempt("r1", "s-0", 5000)]
             client = front.client(ONE)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -23,7 +23,7 @@
 )
 from support.program import RunningProgram, run_scenario
 
-from api_gateway.network.upstream.pool import REST_S
+from api_gateway.network.upstream.pool import SETTLE_TIME_S
 
 
 def serve(seen: ReceivedMessage) -> bytes:
@@ -265,7 +265,7 @@
             for i in range(5):
                 writer.write(message(rid=b"id-%d" % i))
                 assert (await read_message(reader, writer)).body == b"served"
-                await asyncio.sleep(5 * REST_S)
+                await asyncio.sleep(5 * SETTLE_TIME_S)
             assert len({id(s.writer) for s in rig.hosts[0].seen}) == 1
 
     run_scenario(scenario)
@@ -731,7 +731,7 @@
             if not late:
                 return answer + more
             seen.writer.write(answer)
-            asyncio.get_running_loop().call_later(REST_S / 4, seen.writer.write, more)
+            asyncio.get_running_loop().call_later(SETTLE_TIME_S / 4, seen.writer.write, more)
             return None
 
         async with RunningProgram(tmp_path, behave) as rig:
@@ -845,7 +845,7 @@
         async with RunningProgram(tmp_path, behave) as rig:
             for i in range(10):
                 assert await rig.status(message(rid=b"id-%d" % i)) == 200
-                await asyncio.sleep(5 * REST_S)
+                await asyncio.sleep(5 * SETTLE_TIME_S)
             assert not any("fails" in line for line in rig.log)
             assert len(rig.hosts[0].seen) == 19  # each but the first found its connection dead once
 
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -208,7 +208,7 @@
     async def scenario() -> None:
         host = FakeServer(lambda seen: reply(b"served"))
         dispatcher, script = await core_with(monkeypatch, host)
-        dispatcher._hosts._loop = Breaking(dispatcher._loop)
+        dispatcher._pool._loop = Breaking(dispatcher._loop)
         client = Answers()
         script.plan[RequestReceived] = [StartAttempt("r1", "s-0", 5000)]
         script.plan[AttemptEnded] = [RejectRequest("r1")]
@@ -252,7 +252,7 @@
 ) -> tuple[Dispatcher, Script, Held, Answers]:
     """A request whose dial is under way until the test lets it up; `then` answers its outcome."""
     dispatcher, script = await core_with(monkeypatch, host)
-    dispatcher._hosts._loop = held = Held(dispatcher._loop)
+    dispatcher._pool._loop = held = Held(dispatcher._loop)
     client = Answers()
     script.plan[RequestReceived] = [StartAttempt("r1", "s-0", 5000, **send)]
     script.plan[AttemptEnded] = [then("r1")]
@@ -276,7 +276,7 @@
         host = FakeServer(lambda seen: reply(b"served"))
         dispatcher, script, held, client = await dialling(monkeypatch, host)
         monkeypatch.setattr(
-            dispatcher._hosts, "recall", lambda: None
+            dispatcher._pool, "withdraw_pending_connects", lambda: None
         )  # only the check at the moment of writing
         await held.begun.wait()
         await host.until(lambda fake: fake.opened == 1)
@@ -335,7 +335,7 @@
     async def scenario() -> None:
         host = FakeServer(lambda seen: reply(b"served"))
         dispatcher, script = await core_with(monkeypatch, host)
-        dispatcher._hosts._loop = held = Held(dispatcher._loop)
+        dispatcher._pool._loop = held = Held(dispatcher._loop)
         client = Answers()
         script.plan[RequestReceived] = [StartAttempt("r1", "s-0", 5000)]
         rid = dispatcher.submit(client, an_order())
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -191,7 +191,7 @@
         assert fleet.added.count() == fleet.served
         directory.change([msgspec.structs.replace(i, lifecycle="draining") for i in listed(60)[:30]])
         while any(
-            sum(dispatcher._hosts._names.values()) > 30 for dispatcher in fleet.dispatchers
+            sum(dispatcher._pool._names.values()) > 30 for dispatcher in fleet.dispatchers
         ):  # all watches have told
             await asyncio.sleep(0.01)
         SimulatedConnectionPool.load.clear()
