--- a/api_gateway/network/dispatcher.py
+++ b/api_gateway/network/dispatcher.py
@@ -385,7 +385,7 @@
             took = max(took - self._behind_ms(now), 0.0)
         units = 0.0
         if result == AttemptResult.OK:
-            units = reply.amount(b"billed-units", self.settings.max_request_units)
+            units = reply.positive_header(b"billed-units", self.settings.max_request_units)
             self._answer(request, 200, reply)
         final = request.client is None
         self._forget(request)
--- a/api_gateway/network/response_parser.py
+++ b/api_gateway/network/response_parser.py
@@ -1,7 +1,7 @@
-"""The client side of one HTTP/1.1 connection, shared by hosts, counter and discovery.
+"""The client side of an HTTP/1.1 connection, shared by endpoints, counter and discovery.
 
-All that is believed of an answer is decided here: whether it is whole, whether it was asked for, and whether
-its connection may be used again.
+Decides which responses are believed: whether one is complete (RFC 9112, section 6.3), whether it was asked
+for, and whether its connection may carry another request (section 9.3).
 """
 
 from __future__ import annotations
@@ -14,155 +14,226 @@
 
 LONGEST_BODY = 64 * 1024
 LONGEST_LIST = 4 * 1024 * 1024
-LONGEST_FRAME = 64 * 1024  # heads, interim answers and chunk lines of one answer
-NUMBER = re.compile(rb"-?[0-9]{1,15}(?:\.[0-9]{1,15})?(?:[eE][+-]?[0-9]{1,2})?")
-NO_BODY = frozenset((204, 304))
+MAX_FRAMING_BYTES = 64 * 1024  # heads, interim responses and chunk lines of one response
+STATUSES_WITHOUT_BODY = frozenset((204, 304))
+DECIMAL = re.compile(rb"-?[0-9]{1,15}(?:\.[0-9]{1,15})?(?:[eE][+-]?[0-9]{1,2})?")
 
 
 class MalformedResponseError(Exception):
-    """What has come is no answer that can be passed on."""
+    """A response whose end is not certain, or that is longer than may be passed on."""
 
 
 def number(text: bytes) -> float | None:
-    """A decimal number as it stands on the wire; None where it is none. `float` reads more, such as `1_0`."""
-    return float(text) if NUMBER.fullmatch(text) else None
+    """Parse a decimal number; unlike `float`, accept no form such as `1_0`, `nan` or ` 1`.
+
+    Returns:
+        The number, or None if the text is not one.
+    """
+    return float(text) if DECIMAL.fullmatch(text) else None
 
 
 @dataclass(slots=True)
 class Response:
-    """One whole answer."""
+    """One complete response.
+
+    Attributes:
+        status: Status code.
+        headers: Header fields by name in lower case.
+        body: The body, decoded if it came in chunks.
+        keep_alive: Whether the other side keeps the connection open after it.
+    """
 
     status: int
     headers: dict[bytes, bytes]
     body: bytes
     keep_alive: bool
 
-    def amount(self, name: bytes, most: float) -> float:
-        """A header's figure above 0; 0 where there is none, or none that can be believed."""
+    def positive_header(self, name: bytes, maximum: float) -> float:
+        """Return a header's number.
+
+        Args:
+            name: Name in lower case.
+            maximum: The largest number that is believed.
+
+        Returns:
+            The number; 0 if the header is missing, malformed, negative or above the maximum.
+        """
         value = number(self.headers.get(name, b""))
-        return value if value is not None and 0 < value <= most else 0.0
+        return value if value is not None and 0 < value <= maximum else 0.0
 
 
 class ResponseProtocol(asyncio.Protocol):
-    """Parses the answers to what was written; a subclass says what they and a lost connection mean."""
+    """Parses the responses to the requests that were written, in their order (RFC 9112, section 9.3.2).
+
+    A subclass defines `response_received`, `malformed_response` and `connection_closed`.
+
+    Attributes:
+        transport: The connection; None before it is open.
+        unsent: Whether part of what was written has not left this process.
+    """
 
-    def __init__(self, longest: int = LONGEST_BODY) -> None:
+    def __init__(self, max_body_bytes: int = LONGEST_BODY) -> None:
         self.transport: asyncio.Transport | None = None
-        self.unsent = False  # part of what we wrote has not left this process
+        self.unsent = False
         self._parser = httptools.HttpResponseParser(self)
-        self._longest = longest
-        self._due = 0  # answers that are still to come
-        self._taken = 0  # bytes of the answer that is coming
-        self._whole: list[Response] = []
-        self._reset()
+        self._max_body_bytes = max_body_bytes
+        self._expected = 0  # responses
+        self._received_bytes = 0  # of the response being received, with the interim ones before it
+        self._complete: list[Response] = []
+        self._begin_message()
 
-    def _reset(self) -> None:
+    def _begin_message(self) -> None:
         self._headers: dict[bytes, bytes] = {}
         self._body: list[bytes] = []
-        self._size = 0
-        self._begun = False
+        self._body_bytes = 0
+        self._in_message = False
+
+    # --- Defined by subclasses ----------------------------------------------------------------------------
 
     def response_received(self, response: Response, reusable: bool) -> None:
-        """A whole answer to the oldest request; `reusable` if the connection may carry another."""
+        """Handle the response to the oldest request.
+
+        Args:
+            response: The complete response.
+            reusable: Whether the connection may carry another request.
+        """
         raise NotImplementedError
 
     def malformed_response(self) -> None:
-        """What came cannot be read while answers are due; the connection is being dropped."""
+        """Handle data that cannot be used while responses are expected; the connection ends after it."""
         raise NotImplementedError
 
     def connection_closed(self) -> None:
-        """The connection is gone."""
+        """Handle the end of the connection, whichever side ended it."""
         raise NotImplementedError
 
-    def response_started(self) -> bool:
-        """Whether any byte of the answer that is due has come."""
-        return self._taken > 0
-
-    def taken(self) -> int:
-        """How many bytes of it have."""
-        return self._taken
+    # --- Used by subclasses and their owners --------------------------------------------------------------
 
     def write(self, data: bytes) -> None:
-        """Write one request, and know whether its last byte has left this process."""
-        self._due += 1
+        """Write one request."""
+        self._expected += 1
         self.transport.write(data)
         self.unsent = self.transport.get_write_buffer_size() > 0
 
     def drop(self) -> None:
-        """End the connection at once."""
+        """Close the connection at once, with what is unsent."""
         if self.transport is not None:
             self.transport.abort()
 
-    # asyncio.Protocol
+    def response_started(self) -> bool:
+        """Whether any byte of the expected response has been received."""
+        return self._received_bytes > 0
+
+    def taken(self) -> int:
+        """Return how many bytes of the expected response have been received."""
+        return self._received_bytes
+
+    # --- asyncio.Protocol ---------------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport."""
         self.transport = transport
-        transport.set_write_buffer_limits(high=0)  # so that resume_writing tells of the last byte
+        transport.set_write_buffer_limits(high=0)  # so that resume_writing follows the last byte
 
     def resume_writing(self) -> None:
+        """Note that the last byte has left this process."""
         self.unsent = False
 
     def data_received(self, data: bytes) -> None:
+        """Parse data, then deliver the responses that it completes."""
         if self.transport.is_closing():
             return
-        try:
-            if self._due:
-                self._taken += len(data)
-                self._parser.feed_data(data)
-            sound = self._due > 0 and self._taken <= self._longest + LONGEST_FRAME
-        except httptools.HttpParserError:
-            sound = False
-        # Guards against an answer that was not asked for: a second copy or noise behind a good one would be
-        # read as the answer to what is written next. So answers are handed on only when all that came with
-        # them has been looked at.
-        replies, self._whole = self._whole, []
-        asked = replies[: self._due]
-        self._due -= len(asked)
-        if len(replies) > len(asked) or (self._begun and not self._due):
-            sound = False
-        for reply in asked:
-            self.response_received(reply, sound and reply.keep_alive)
-        if not sound:
-            if self._due:
+        valid = self._parse(data)
+        # A response that was not asked for, such as a second copy behind the first one, would be taken for
+        # the response to the next request. So none is delivered before all that came with it is parsed.
+        complete, self._complete = self._complete, []
+        expected = complete[: self._expected]
+        self._expected -= len(expected)
+        if len(complete) > len(expected) or (self._in_message and not self._expected):
+            valid = False
+        for response in expected:
+            self.response_received(response, valid and response.keep_alive)
+        if not valid:
+            if self._expected:
                 self.malformed_response()
             self.drop()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Report the end of the connection."""
         self.connection_closed()
 
-    # httptools; what these raise reaches data_received as an HttpParserError
+    def _parse(self, data: bytes) -> bool:
+        """Feed the parser.
+
+        Returns:
+            Whether the data was expected, well-formed and within the bounds.
+        """
+        if not self._expected:
+            return False
+        self._received_bytes += len(data)
+        try:
+            self._parser.feed_data(data)
+        except httptools.HttpParserError:
+            return False
+        return self._received_bytes <= self._max_body_bytes + MAX_FRAMING_BYTES
+
+    # --- Callbacks of httptools: what they raise reaches _parse as an HttpParserError ----------------------
 
     def on_message_begin(self) -> None:
-        self._begun = True
+        """Note that a response has begun."""
+        self._in_message = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Keep a header field.
+
+        Raises:
+            MalformedResponseError: Content-Length is repeated, so that the end is not certain.
+        """
         name = name.lower()
         if name == b"content-length" and name in self._headers:
-            raise MalformedResponseError("two lengths: one of them cuts the answer")
+            raise MalformedResponseError("repeated Content-Length")
         self._headers[name] = value
 
     def on_headers_complete(self) -> None:
-        length, coding = self._headers.get(b"content-length"), self._headers.get(b"transfer-encoding")
+        """Check that the end of the body is certain (RFC 9112, section 6.3).
+
+        Raises:
+            MalformedResponseError: Both or neither of Content-Length and chunked coding are given, or the
+                length is invalid or too large. Without either, the body would end with the connection, and
+                a truncated one could not be told from a complete one (section 8).
+        """
         status = self._parser.get_status_code()
-        if status < 200 or status in NO_BODY:
+        if status < 200 or status in STATUSES_WITHOUT_BODY:
             return
+        length = self._headers.get(b"content-length")
+        coding = self._headers.get(b"transfer-encoding")
         if coding is not None and (length is not None or coding.strip().lower() != b"chunked"):
-            raise MalformedResponseError("framing")
-        # Guards against a cut answer: one with neither length nor chunks ends where its connection breaks.
-        if coding is None and (length is None or not length.isdigit() or int(length) > self._longest):
-            raise MalformedResponseError("no length, or more than may be passed on")
+            raise MalformedResponseError("ambiguous Transfer-Encoding")
+        if coding is None and (length is None or not length.isdigit() or int(length) > self._max_body_bytes):
+            raise MalformedResponseError("Content-Length missing, invalid or too large")
 
     def on_body(self, data: bytes) -> None:
-        self._size += len(data)
-        if self._size > self._longest:
-            raise MalformedResponseError("too long")
+        """Keep a part of the body.
+
+        Raises:
+            MalformedResponseError: The body is too long.
+        """
+        self._body_bytes += len(data)
+        if self._body_bytes > self._max_body_bytes:
+            raise MalformedResponseError("body too long")
         self._body.append(data)
 
     def on_message_complete(self) -> None:
+        """Keep a final response for delivery, and skip an interim one (1xx)."""
         status = self._parser.get_status_code()
-        if status >= 200:  # interim answers are not the answer, but count for its bound
-            self._taken = 0
-            self._whole.append(
-                Response(status, self._headers, b"".join(self._body), self._parser.should_keep_alive())
+        if status >= 200:
+            self._received_bytes = 0
+            self._complete.append(
+                Response(
+                    status=status,
+                    headers=self._headers,
+                    body=b"".join(self._body),
+                    keep_alive=self._parser.should_keep_alive(),
+                )
             )
-        self._reset()
+        self._begin_message()
