--- /dev/null
+++ b/api_gateway/network/clock.py
@@ -0,0 +1,60 @@
+"""The clock of the decisions, and the measurement of how far the event loop runs behind."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+
+INTERVAL_S = 0.05
+MIN_LAG_MS = 5.0  # less than this is ordinary jitter
+RESET_DELAY_S = 0.001
+
+
+class Clock:
+    """Unix time, which all gateways share, but never set back while the process runs."""
+
+    def __init__(self) -> None:
+        self._offset_s = time.time() - time.monotonic()
+
+    def now_ms(self) -> float:
+        """Return the time in ms of Unix time."""
+        return (self._offset_s + time.monotonic()) * 1000
+
+
+class EventLoopLag:
+    """Measures the lag of the event loop with a timer that is due every `INTERVAL_S`.
+
+    After a stall the lag is kept until the sockets have been read: what is read then may have waited so long.
+    """
+
+    def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
+        self._loop = loop
+        self._lag_ms = 0.0
+        self._due_at = time.monotonic() + INTERVAL_S
+
+    def start(self) -> None:
+        """Begin to measure."""
+        self._due_at = time.monotonic() + INTERVAL_S
+        self._loop.call_later(INTERVAL_S, self._measure)
+
+    def lag_ms(self, now: float) -> float:
+        """Return how long, at most, what is read now may have waited for the event loop, in ms.
+
+        Args:
+            now: The time by `time.monotonic`.
+        """
+        # A loop that was stopped in its poll reads sockets before it runs the timer that is overdue.
+        overdue_ms = (now - self._due_at) * 1000
+        return overdue_ms if overdue_ms > MIN_LAG_MS else self._lag_ms
+
+    def _measure(self) -> None:
+        now = time.monotonic()
+        overdue_ms = (now - self._due_at) * 1000
+        if overdue_ms > MIN_LAG_MS:
+            self._lag_ms = overdue_ms
+            self._loop.call_later(RESET_DELAY_S, self._reset)
+        self._due_at = now + INTERVAL_S
+        self._loop.call_later(INTERVAL_S, self._measure)
+
+    def _reset(self) -> None:
+        self._lag_ms = 0.0
--- a/api_gateway/network/downstream/listener.py
+++ b/api_gateway/network/downstream/listener.py
@@ -344,7 +344,7 @@
             self.respond(200 if self._dispatcher.is_ready() else 503)
         elif not path.startswith(b"/api/"):
             raise BadRequestError("path", 404)
-        elif self._dispatcher.ended:
+        elif self._dispatcher.terminated:
             self.respond(503)  # nothing that is begun now would come to its end
         else:
             wanted = order(message, self._server.terms)
--- /dev/null
+++ b/api_gateway/network/open_requests.py
@@ -0,0 +1,133 @@
+"""The requests that are open: unanswered, or with an attempt in flight."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Iterator
+from dataclasses import dataclass, field
+from typing import Protocol
+
+from api_gateway.network.upstream.attempt import Attempt
+
+
+class Client(Protocol):
+    """The downstream side of one request."""
+
+    def respond(
+        self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_ms: float = 0.0
+    ) -> None:
+        """Send the one final response.
+
+        Args:
+            status: Status code.
+            body: The body.
+            content_type: Value of Content-Type; empty for none.
+            retry_after_ms: Value of Retry-After in ms; 0 for none.
+        """
+
+    def has_disconnected(self) -> bool:
+        """Whether the client has closed its connection, even if the event loop has not reported it yet."""
+
+
+@dataclass(slots=True)
+class InboundRequest:
+    """A valid request of a client.
+
+    Attributes:
+        wire_id: Value of X-Request-Id.
+        class_name: Name of its request class.
+        plan_name: Name of its tenant's plan.
+        tenant: Who is charged for it.
+        time_left_ms: How long the client waits, from when it sent the request.
+        units: Its size in quota units, as estimated by the client.
+        gateway_count: Gateways that this tenant's requests may come through.
+        first_gateway: Number of the first of them.
+        is_retry: Whether the client has sent it before.
+        read_at: When its last byte was read, by `time.monotonic`.
+        head: Request line and headers for the endpoint, without `X-Deadline` and the empty line.
+        body: The body.
+    """
+
+    wire_id: bytes
+    class_name: str
+    plan_name: str
+    tenant: str
+    time_left_ms: float
+    units: float
+    gateway_count: int
+    first_gateway: int
+    is_retry: bool
+    read_at: float
+    head: bytes
+    body: bytes
+
+
+@dataclass(slots=True, eq=False)
+class OpenRequest:
+    """One request from its arrival until it is answered and its last attempt has ended.
+
+    Attributes:
+        request_id: Its id within this process.
+        inbound: What the client sent.
+        client: Who waits for the response; None once answered or disconnected.
+        deadline: When it is answered at the latest, by `time.monotonic`.
+        deadline_timer: Runs until `deadline`.
+        attempts: Its attempts by number; None for one that was not started.
+        in_flight: Number of attempts that have not ended.
+    """
+
+    request_id: str
+    inbound: InboundRequest
+    client: Client | None
+    deadline: float
+    deadline_timer: asyncio.TimerHandle | None = None
+    attempts: list[Attempt | None] = field(default_factory=list)
+    in_flight: int = 0
+
+
+class OpenRequests:
+    """The table of open requests."""
+
+    def __init__(self) -> None:
+        self._by_id: dict[str, OpenRequest] = {}
+        self._wire_ids: set[bytes] = set()
+        self._last_number = 0
+
+    def __len__(self) -> int:
+        """Return how many are open."""
+        return len(self._by_id)
+
+    def __iter__(self) -> Iterator[OpenRequest]:
+        """Iterate over a copy, so that requests may be closed meanwhile."""
+        return iter(list(self._by_id.values()))
+
+    def get(self, request_id: str) -> OpenRequest | None:
+        """Return a request; None if it is not open."""
+        return self._by_id.get(request_id)
+
+    def has_wire_id(self, wire_id: bytes) -> bool:
+        """Whether a request with this X-Request-Id is open."""
+        return wire_id in self._wire_ids
+
+    def add(self, client: Client, inbound: InboundRequest, deadline: float) -> OpenRequest:
+        """Open a request.
+
+        Args:
+            client: Who waits for the response.
+            inbound: What the client sent.
+            deadline: When it is answered at the latest, by `time.monotonic`.
+        """
+        self._wire_ids.add(inbound.wire_id)
+        self._last_number += 1
+        request = OpenRequest(
+            request_id=f"r{self._last_number}", inbound=inbound, client=client, deadline=deadline
+        )
+        self._by_id[request.request_id] = request
+        return request
+
+    def remove_if_finished(self, request: OpenRequest) -> None:
+        """Remove a request that needs no response and has no attempt in flight."""
+        if request.client is not None or request.in_flight:
+            return
+        if self._by_id.pop(request.request_id, None) is not None:
+            self._wire_ids.discard(request.inbound.wire_id)
--- /dev/null
+++ b/api_gateway/network/request_handler.py
@@ -0,0 +1,246 @@
+"""Open requests from their arrival to their response, with the attempts made for each."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import time
+from collections.abc import Callable
+
+from api_gateway.configuration import Configuration, upstream_sockets
+from api_gateway.model.actions import CancelAttempt, StartAttempt
+from api_gateway.model.events import AttemptEnded, ClientDisconnected, Event, RequestReceived
+from api_gateway.model.results import AttemptResult
+from api_gateway.network.clock import EventLoopLag
+from api_gateway.network.open_requests import Client, InboundRequest, OpenRequest, OpenRequests
+from api_gateway.network.response_parser import Response
+from api_gateway.network.upstream.attempt import Attempt
+from api_gateway.network.upstream.pool import ConnectionPool
+
+log = logging.getLogger(__name__)
+
+TRANSIT_MS = 4.0  # allowed for the way of the request to this gateway and of the response back
+DEADLINE_MARGIN_MS = 8.0  # the deadline timer answers this long before the client's time is over
+DECISION_MARGIN_MS = 20.0  # the decisions get a deadline this much earlier, so that they answer first
+USAGE_HEADER = b"billed-units"  # units that the request used, as reported by the endpoint
+
+
+class RequestHandler:
+    """Gives each request exactly one response, and each attempt exactly one `AttemptEnded`.
+
+    Args:
+        configuration: The gateway's configuration.
+        loop: The event loop.
+        pool_class: The pool of upstream connections.
+        lag: The lag of the event loop.
+        post: Hands an event to the decisions.
+
+    Attributes:
+        requests: The open requests.
+        pool: The pool that sends the attempts.
+    """
+
+    def __init__(
+        self,
+        *,
+        configuration: Configuration,
+        loop: asyncio.AbstractEventLoop,
+        pool_class: type[ConnectionPool],
+        lag: EventLoopLag,
+        post: Callable[[Event], None],
+    ) -> None:
+        self.requests = OpenRequests()
+        self.pool = pool_class(
+            loop=loop,
+            max_connections=upstream_sockets(configuration.sockets),
+            connect_timeout_ms=configuration.dial_ms,
+            idle_timeout_ms=configuration.idle_ms,
+            attempt_ended=self._attempt_ended,
+            client_waits=self._attempt_is_awaited,
+        )
+        self._settings = configuration.settings
+        self._loop = loop
+        self._lag = lag
+        self._post = post
+
+    # --- Requests -----------------------------------------------------------------------------------------
+
+    def submit(self, client: Client, inbound: InboundRequest) -> str | None:
+        """Accept a request.
+
+        Args:
+            client: Gets exactly one response, possibly before this method returns.
+            inbound: The request.
+
+        Returns:
+            The id for `client_disconnected`; None if a request with the same X-Request-Id is open, since
+            endpoints know a request by that id alone.
+        """
+        if self.requests.has_wire_id(inbound.wire_id):
+            return None
+        # The client's time runs from when it sent the request, not from when this process handles it.
+        now = time.monotonic()
+        queued_ms = (now - inbound.read_at) * 1000
+        time_left_ms = inbound.time_left_ms - TRANSIT_MS - self._lag.lag_ms(now) - queued_ms
+        timeout_s = (time_left_ms - DEADLINE_MARGIN_MS) / 1000
+        request = self.requests.add(client, inbound, now + timeout_s)
+        request.deadline_timer = self._loop.call_later(max(timeout_s, 0.0), self._deadline_reached, request)
+        self._post(
+            RequestReceived(
+                request_id=request.request_id,
+                class_name=inbound.class_name,
+                plan_name=inbound.plan_name,
+                tenant=inbound.tenant,
+                time_left_ms=time_left_ms - DECISION_MARGIN_MS,
+                units=inbound.units,
+                gateway_count=inbound.gateway_count,
+                first_gateway=inbound.first_gateway,
+                is_retry=inbound.is_retry,
+            )
+        )
+        return request.request_id
+
+    def client_disconnected(self, request_id: str) -> None:
+        """Close a request whose client has gone."""
+        request = self.requests.get(request_id)
+        if request is not None and request.client is not None:
+            self._close(request)
+            self._post(ClientDisconnected(request_id))
+            self._withdraw_unsent_attempts(request)
+
+    def respond(self, request_id: str, status: int, *, retry_after_ms: float = 0.0) -> None:
+        """Answer a request without an endpoint's response, unless it has been answered.
+
+        Args:
+            request_id: The request.
+            status: Status code.
+            retry_after_ms: When the client should come again; 0 to tell nothing.
+        """
+        request = self.requests.get(request_id)
+        if request is None or request.client is None:
+            return
+        client = self._close(request)
+        client.respond(status, retry_after_ms=retry_after_ms)
+        self._withdraw_unsent_attempts(request)
+
+    def fail_all(self) -> None:
+        """Answer all open requests with 504."""
+        for request in self.requests:
+            self._answer_timeout(request)
+
+    def _forward(self, request: OpenRequest, response: Response) -> None:
+        """Answer with an endpoint's response, unless the request has been answered."""
+        if request.client is None:
+            return
+        client = self._close(request)
+        client.respond(200, response.body, response.headers.get(b"content-type", b""))
+        self._withdraw_unsent_attempts(request)
+
+    def _is_awaited(self, request: OpenRequest | None) -> bool:
+        """Whether a client waits for a response; its socket is asked, as its end may be unread for long."""
+        if request is None or request.client is None:
+            return False
+        if request.client.has_disconnected():
+            self.client_disconnected(request.request_id)
+        return request.client is not None
+
+    def _deadline_reached(self, request: OpenRequest) -> None:
+        """Answer in time, whatever the decisions or a socket do."""
+        log.warning("request_deadline_reached request_id=%s status=504", request.request_id)
+        self._answer_timeout(request)
+
+    def _answer_timeout(self, request: OpenRequest) -> None:
+        if request.client is not None:
+            self.respond(request.request_id, 504)
+            self._post(ClientDisconnected(request.request_id))
+
+    def _close(self, request: OpenRequest) -> Client:
+        """End the wait for a response and return who waited."""
+        client, request.client = request.client, None
+        request.deadline_timer.cancel()
+        self.requests.remove_if_finished(request)
+        return client
+
+    def _withdraw_unsent_attempts(self, request: OpenRequest) -> None:
+        """End the attempts with unsent bytes: their endpoint would run them after the response."""
+        if request.in_flight:
+            for attempt in request.attempts:
+                if attempt is not None:
+                    self.pool.withdraw(attempt)
+
+    # --- Attempts -----------------------------------------------------------------------------------------
+
+    def start_attempt(self, action: StartAttempt) -> None:
+        """Send an attempt, unless nobody waits for it, its time is over or there were enough."""
+        request = self.requests.get(action.request_id)
+        number = len(request.attempts) if request is not None else 0
+        time_left_s = request.deadline - time.monotonic() if request is not None else 0.0
+        is_awaited = self._is_awaited(request)
+        if not is_awaited or time_left_s <= 0 or number >= self._settings.max_attempts:
+            if request is not None:
+                request.attempts.append(None)
+            self._post_not_started(action, number, is_final=not is_awaited)
+            return
+        timeout_s = min(action.timeout_ms / 1000, time_left_s) if action.timeout_ms else time_left_s
+        now = time.monotonic()
+        attempt = Attempt(
+            request_id=action.request_id,
+            number=number,
+            endpoint=action.endpoint,
+            head=request.inbound.head,
+            body=request.inbound.body,
+            started_at=now,
+            deadline=now + timeout_s,
+            write_deadline=now + action.write_timeout_ms / 1000,
+        )
+        request.attempts.append(attempt)
+        request.in_flight += 1
+        self.pool.send(attempt)
+
+    def cancel_attempt(self, action: CancelAttempt) -> None:
+        """Cancel an attempt that is in flight; ignored if it has ended."""
+        request = self.requests.get(action.request_id)
+        if request is not None and action.attempt < len(request.attempts):
+            attempt = request.attempts[action.attempt]
+            if attempt is not None:
+                self.pool.cancel(attempt)
+
+    def _post_not_started(self, action: StartAttempt, number: int, *, is_final: bool) -> None:
+        self._post(
+            AttemptEnded(
+                request_id=action.request_id,
+                attempt=number,
+                endpoint=action.endpoint,
+                result=AttemptResult.NOT_STARTED,
+                duration_ms=0.0,
+                is_final=is_final,
+            )
+        )
+
+    def _attempt_is_awaited(self, attempt: Attempt) -> bool:
+        return self._is_awaited(self.requests.get(attempt.request_id))
+
+    def _attempt_ended(self, attempt: Attempt, result: AttemptResult, response: Response | None) -> None:
+        request = self.requests.get(attempt.request_id)
+        request.in_flight -= 1
+        now = time.monotonic()
+        duration_ms = (now - attempt.started_at) * 1000
+        if response is not None:  # the time for which it lay unread is not the endpoint's
+            duration_ms = max(duration_ms - self._lag.lag_ms(now), 0.0)
+        units = 0.0
+        if result == AttemptResult.OK:
+            units = response.positive_header(USAGE_HEADER, self._settings.max_request_units)
+            self._forward(request, response)
+        is_final = request.client is None
+        self.requests.remove_if_finished(request)
+        self._post(
+            AttemptEnded(
+                request_id=attempt.request_id,
+                attempt=attempt.number,
+                endpoint=attempt.endpoint,
+                result=result,
+                duration_ms=duration_ms,
+                is_final=is_final,
+                actual_units=units,
+            )
+        )
--- a/testbed/hollow.py
+++ b/testbed/hollow.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 
 from api_gateway.configuration import Configuration
-from api_gateway.model.actions import StartAttempt
+from api_gateway.model.actions import Action, StartAttempt
 from api_gateway.model.results import AttemptResult
 from api_gateway.network.dispatcher import Dispatcher, InboundRequest
 from api_gateway.network.response_parser import Response
@@ -153,11 +153,12 @@
         super().__init__(config, loop, SimulatedConnectionPool)
         self.sent = sent
 
-    def _send(self, act: StartAttempt) -> None:
-        request = self._requests.get(act.request_id)
-        if request is not None and not request.attempts:
-            self.sent.append((time.time(), int(request.order.tenant, 16), request.order.units))
-        super()._send(act)
+    def _execute(self, action: Action) -> None:
+        if isinstance(action, StartAttempt):
+            request = self._request_handler.requests.get(action.request_id)
+            if request is not None and not request.attempts:
+                self.sent.append((time.time(), int(request.inbound.tenant, 16), request.inbound.units))
+        super()._execute(action)
 
     def connections(self) -> tuple[int, int]:
         """Open connections to hosts, and dials so far."""
--- a/tests/test_acceptance_terms.py
+++ b/tests/test_acceptance_terms.py
@@ -192,7 +192,9 @@
         dispatcher, script, _, client = await dialling(monkeypatch, host)
         await host.until(lambda fake: fake.opened == 1)
         anew = {**instance("s-0", host.port), "startedAtMs": 1e12}
-        dispatcher._listed(parse_endpoint_list({"generation": 2, "reset": False, "instances": [anew]}))
+        dispatcher._endpoints_updated(
+            parse_endpoint_list({"generation": 2, "reset": False, "instances": [anew]})
+        )
         assert client.got.get_nowait() == 503 and script.outcomes() == [AttemptResult.WITHDRAWN]
         host.stop()
 
@@ -462,7 +464,7 @@
         client.close()
         if begun:
             # The outcome and the client's end lie unread together, and the outcome is handled first.
-            attempt = dispatcher._requests[rid].attempts[0]
+            attempt = dispatcher._request_handler.requests.get(rid).attempts[0]
             attempt.abort()
             script.plan[AttemptEnded] = [StartAttempt(rid, "s-0", 5000)]
             dispatcher._pool._end(
@@ -474,7 +476,7 @@
             dispatcher._post(TimerFired("x"))
         assert script.outcomes()[-1] == AttemptResult.NOT_STARTED and ClientDisconnected(rid) in script.events
         await front.nothing_more(begun)
-        assert not dispatcher._requests
+        assert not dispatcher._request_handler.requests
         host.stop()
 
     run_scenario(scenario, 5)
@@ -494,7 +496,7 @@
         script.plan[TimerFired] = [RejectRequest(rid)]  # answered, so the second one is taken, in one turn
         dispatcher._post(TimerFired("x"))
         await front.nothing_more(0)
-        assert AttemptResult.OK not in script.outcomes() and not dispatcher._requests
+        assert AttemptResult.OK not in script.outcomes() and not dispatcher._request_handler.requests
         host.stop()
 
     run_scenario(scenario, 5)
@@ -518,7 +520,9 @@
             client.close()
             await host.until(lambda fake: fake.closed == 1)
             assert (
-                script.outcomes() == [AttemptResult.WITHDRAWN] and not host.seen and not dispatcher._requests
+                script.outcomes() == [AttemptResult.WITHDRAWN]
+                and not host.seen
+                and not dispatcher._request_handler.requests
             )
             host.stop()
 
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -24,7 +24,7 @@
     def __init__(self) -> None:
         plan = dataclasses.replace(PLAN, name="team")
         self.settings = settings(classes=(SAFE,), plans=(plan,), fleet_size=1)
-        self.draining = self.ended = False
+        self.draining = self.terminated = False
         self.taken: list[bytes] = []
 
     def is_ready(self) -> bool:
@@ -165,7 +165,7 @@
 def test_what_comes_after_the_last_moment_is_refused_and_begins_nothing() -> None:
     async def scenario() -> None:
         rig = RunningProgram()
-        rig.dispatcher.draining = rig.dispatcher.ended = True
+        rig.dispatcher.draining = rig.dispatcher.terminated = True
         client = rig.client(message(rid=b"late"))
         assert (await rig.read(client)).startswith(b"HTTP/1.1 503") and not rig.dispatcher.taken
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -19,7 +19,7 @@
     DiscoveryWatch,
     EndpointList,
 )
-from api_gateway.network.dispatcher import list_spread_s
+from api_gateway.network.dispatcher import first_poll_spread_s
 from api_gateway.network.response_parser import Response
 
 
@@ -263,7 +263,7 @@
     }
     config = configuration.parse(raw)
     settings = dataclasses.replace(config.settings, discovery_by_polling=discovery_by_polling)
-    assert list_spread_s(dataclasses.replace(config, settings=settings)) == pytest.approx(spread_s)
+    assert first_poll_spread_s(dataclasses.replace(config, settings=settings)) == pytest.approx(spread_s)
 
 
 def test_a_whole_list_that_is_coming_in_is_not_given_up_under_its_bytes() -> None:
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -117,8 +117,8 @@
         }
     )
     dispatcher = Dispatcher(config, asyncio.get_running_loop())
-    dispatcher._apply(config.known, UpdateKind.CACHED)
-    dispatcher._loop.call_soon(dispatcher._beat)
+    dispatcher._apply_endpoint_list(config.known, UpdateKind.CACHED)
+    dispatcher._loop.call_soon(dispatcher._lag._measure)
     return dispatcher, dispatcher._gateway
 
 
@@ -181,7 +181,7 @@
             AttemptResult.CANCELLED,
         ]
         assert await client.got.get() == 502
-        assert not dispatcher._requests
+        assert not dispatcher._request_handler.requests
         host.stop()
 
     run_scenario(scenario)
@@ -281,7 +281,7 @@
         await held.begun.wait()
         await host.until(lambda fake: fake.opened == 1)
         held.let_up.set()
-        dispatcher._listed(the_list(host, lifecycle))
+        dispatcher._endpoints_updated(the_list(host, lifecycle))
         assert await client.got.get() == 503
         assert script.outcomes() == [AttemptResult.WITHDRAWN]
         await host.until(lambda fake: fake.closed == 1)
@@ -299,7 +299,7 @@
         host = FakeServer(lambda seen: reply(b"served"))
         dispatcher, script, held, client = await dialling(monkeypatch, host)
         await held.begun.wait()
-        dispatcher._listed(the_list(host, lifecycle))
+        dispatcher._endpoints_updated(the_list(host, lifecycle))
         assert client.got.get_nowait() == 503  # not when the dial is over
         kinds = [type(e) for e in script.events]
         assert kinds[-2:] == [EndpointUpdate, AttemptEnded]  # the list first: it must not be chosen again
@@ -314,7 +314,7 @@
     async def scenario() -> None:
         host = FakeServer(lambda seen: reply(b"served"))
         dispatcher, script = await core_with(monkeypatch, host)
-        dispatcher._listed(the_list(host, "draining"))
+        dispatcher._endpoints_updated(the_list(host, "draining"))
         client = Answers()
         script.plan[RequestReceived] = [StartAttempt("r1", "s-0", 5000)]
         script.plan[AttemptEnded] = [RejectRequest("r1")]
@@ -348,7 +348,9 @@
         assert not host.seen and client.got.empty()
         assert script.outcomes() == [AttemptResult.WITHDRAWN] and script.events[-1].is_final
         assert (
-            ClientDisconnected(rid) in script.events and not dispatcher._requests and not dispatcher._wire_ids
+            ClientDisconnected(rid) in script.events
+            and not dispatcher._request_handler.requests
+            and not dispatcher._request_handler.requests._wire_ids
         )
         host.stop()
 
@@ -367,7 +369,7 @@
         assert (
             script.outcomes() == [AttemptResult.NOT_STARTED]
             and script.events[-1].is_final
-            and not dispatcher._requests
+            and not dispatcher._request_handler.requests
         )
         await asyncio.sleep(0)
         assert not host.opened
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -181,7 +181,7 @@
             await asyncio.sleep(0.01)
         assert directory.whole == 100
         await fleet.load(2.0)
-        while any(dispatcher._requests for dispatcher in fleet.dispatchers):
+        while any(dispatcher._request_handler.requests for dispatcher in fleet.dispatchers):
             await asyncio.sleep(0.01)
         assert fleet.asked > 700 and fleet.served > 0.8 * fleet.asked
         assert fleet.served <= sum(SimulatedConnectionPool.load.values()) == len(fleet.sent)
