--- a/api_gateway/network/upstream/pool.py
+++ b/api_gateway/network/upstream/pool.py
@@ -15,9 +15,9 @@
 from api_gateway.network.upstream.endpoint import UpstreamEndpoint
 
 MAX_PENDING_CONNECTS = 64
-READ_GRACE_S = 0.002  # a turn or two of the event loop
-SETTLE_TIME_S = 0.01  # a connection is idle so long before it is used again
-IDLE_TIMEOUT_SHARE = 0.5  # idle connections are closed after this part of the endpoint's idle timeout
+READ_GRACE_S = 0.002  # a turn or two of the event loop, in which what has arrived is read
+SETTLE_TIME_S = 0.01  # how long a connection is idle before it is used again
+IDLE_TIMEOUT_SHARE = 0.5  # part of the endpoints' idle timeout after which a connection is closed
 RETIRE_INTERVAL_S = 1.0
 
 
--- a/tests/test_acceptance_cold_endpoints.py
+++ b/tests/test_acceptance_cold_endpoints.py
@@ -16,7 +16,7 @@
     (200, 50, 1.0, "half"),
     (200, 120, 0.6, "none"),
 ]
-RAMPS = [  # budget of a cold endpoint as a multiple, length of the ramp in s, requests/s at each endpoint
+RAMPS = [  # overload multiple, length of the slow start in s, requests per s for each endpoint
     (1.2, 10, 15),
     (1.2, 5, 20),
     (2.5, 18, 12),
@@ -30,7 +30,7 @@
 def test_no_cold_endpoint_fails_under_the_sum_of_all_gateways(
     gateways: int, endpoints: int, share: float, started: str, multiple: float, cold_s: float, rate: float
 ) -> None:
-    """Small and large multiples, short and long ramps, low and high rates, uneven over the gateways."""
+    """Small and large multiples, short and long slow starts, low and high rates, uneven over the gateways."""
     simulation = FleetSimulation(
         gateways=gateways,
         hosts=endpoints,
