--- a/api_gateway/network/counter_connection.py
+++ b/api_gateway/network/counter_connection.py
@@ -290,15 +290,15 @@
         super().resume_writing()
         self._connection.handle_flushed()
 
-    def replied(self, reply: Response, reusable: bool) -> None:
+    def response_received(self, reply: Response, reusable: bool) -> None:
         """Report a response."""
         self._connection.handle_response(reply, reusable)
 
-    def spoilt(self) -> None:
+    def malformed_response(self) -> None:
         """Report a response that is not HTTP."""
         self._connection.handle_malformed_response()
 
-    def lost(self) -> None:
+    def connection_closed(self) -> None:
         """Report the end of the connection."""
         self._connection.handle_disconnect()
 
--- a/api_gateway/network/discovery.py
+++ b/api_gateway/network/discovery.py
@@ -277,15 +277,15 @@
         self._watch = watch
         self.closed = False
 
-    def replied(self, reply: Response, reusable: bool) -> None:
+    def response_received(self, response: Response, reusable: bool) -> None:
         """Pass a response to the watch."""
-        self._watch.handle_response(self, reply, reusable)
+        self._watch.handle_response(self, response, reusable)
 
-    def spoilt(self) -> None:
+    def malformed_response(self) -> None:
         """Log a response that is not HTTP; the connection is closed next."""
         log.warning("discovery_response_unreadable endpoints=kept")
 
-    def lost(self) -> None:
+    def connection_closed(self) -> None:
         """Report the end of the connection to the watch."""
         self.closed = True
         self._watch.handle_disconnect(self)
--- a/testbed/simulated_gateways.py
+++ b/testbed/simulated_gateways.py
@@ -14,7 +14,7 @@
 import time
 
 from api_gateway.configuration import Configuration
-from api_gateway.model.actions import StartAttempt
+from api_gateway.model.actions import Action, StartAttempt
 from api_gateway.network.dispatcher import Dispatcher, InboundRequest
 from testbed import gateway_configuration
 from testbed.latency import LatencyRecorder
@@ -75,21 +75,24 @@
         super().__init__(config, loop, functools.partial(SimulatedConnectionPool, endpoints))
         self._forwarded = forwarded
 
-    def _send(self, act: StartAttempt) -> None:
-        request = self._requests.get(act.request_id)
+    def _execute(self, action: Action) -> None:
+        if isinstance(action, StartAttempt):
+            self._record_first_attempt(action.request_id)
+        super()._execute(action)
+
+    def _record_first_attempt(self, request_id: str) -> None:
+        request = self._request_handler.requests.get(request_id)
         if request is not None and not request.attempts:
-            self._forwarded.append(
-                ForwardedRequest(time.time(), int(request.order.tenant, 16), request.order.units)
-            )
-        super()._send(act)
+            tenant = int(request.inbound.tenant, 16)
+            self._forwarded.append(ForwardedRequest(time.time(), tenant, request.inbound.units))
 
     def open_connections(self) -> int:
         """Return the number of open connections to endpoints."""
-        return self._hosts.connections()
+        return self._pool.connections()
 
     def connects(self) -> int:
         """Return the number of connections opened so far."""
-        return self._hosts.connects
+        return self._pool.connects
 
     def generation(self) -> int:
         """Return the generation of the known endpoint list, 0 without a list."""
--- a/testbed/simulated_pool.py
+++ b/testbed/simulated_pool.py
@@ -12,7 +12,7 @@
 
 from api_gateway.model.results import AttemptResult
 from api_gateway.network.response_parser import Response
-from api_gateway.network.upstream.pool import Attempt
+from api_gateway.network.upstream.attempt import Attempt
 from testbed.endpoint_server import MEAN_SERVICE_MS, SERVICE_VARIATION, ServiceTimes
 
 CONNECT_S = 0.002  # a round trip across zones, and the endpoint's work for it
@@ -45,16 +45,19 @@
     def __init__(
         self,
         endpoints: SimulatedEndpoints,
+        *,
         loop: asyncio.AbstractEventLoop,
-        most: int,
-        dial_ms: float,
-        idle_ms: float,
-        ended: Callable[[Attempt, AttemptResult, Response | None], None],
-        wanted: Callable[[Attempt], bool],
+        max_connections: int,
+        connect_timeout_ms: float,
+        idle_timeout_ms: float,
+        attempt_ended: Callable[[Attempt, AttemptResult, Response | None], None],
+        client_waits: Callable[[Attempt], bool],
     ) -> None:
         self._endpoints = endpoints
-        self._loop, self._ended = loop, ended
-        self._idle_timeout_s = idle_ms / 2000  # half of the time after which endpoints close connections
+        self._loop, self._ended = loop, attempt_ended
+        self._idle_timeout_s = (
+            idle_timeout_ms / 2000
+        )  # half of the time after which endpoints close connections
         self._accepts_requests: dict[str, bool] = {}  # by endpoint; draining ones accept none
         self._idle: dict[str, deque[float]] = {}  # by endpoint: when each connection became idle
         self._in_flight = 0
@@ -66,27 +69,32 @@
     def stop(self) -> None:
         """Do nothing: there is no socket to close."""
 
-    def update(
-        self, addresses: dict[str, tuple[str, int]], gone: set[str], leaving: set[str], born: dict[str, float]
+    def update_endpoints(
+        self,
+        *,
+        addresses: dict[str, tuple[str, int]],
+        removed: set[str],
+        draining: set[str],
+        started_at_ms: dict[str, float],
     ) -> None:
         """Apply changes of the endpoint list.
 
         Args:
             addresses: New and changed endpoints.
-            gone: Endpoints that are removed.
-            leaving: Endpoints that drain.
-            born: Unix times of the endpoints' starts, in milliseconds.
+            removed: Endpoints that are removed.
+            draining: Endpoints that drain.
+            started_at_ms: Unix times of the endpoints' starts, in milliseconds.
         """
-        for name in gone:
+        for name in removed:
             self._accepts_requests.pop(name, None)
             self._idle.pop(name, None)
         for name in addresses:
-            self._accepts_requests[name] = name not in leaving
+            self._accepts_requests[name] = name not in draining
 
-    def recall(self) -> None:
+    def withdraw_pending_connects(self) -> None:
         """Do nothing: no attempt waits for a connection."""
 
-    def names(self) -> set[str]:
+    def endpoint_names(self) -> set[str]:
         """Return the names of the known endpoints."""
         return set(self._accepts_requests)
 
--- a/tests/test_testbed_gateways.py
+++ b/tests/test_testbed_gateways.py
@@ -63,7 +63,7 @@
         assert discovery.full_lists == GATEWAYS
 
         await fleet.run_load(2.0)
-        while any(dispatcher._requests for dispatcher in fleet.dispatchers):
+        while any(dispatcher._request_handler.requests for dispatcher in fleet.dispatchers):
             await asyncio.sleep(0.01)
         assert fleet.requests_sent > 700 and fleet.requests_served > 0.8 * fleet.requests_sent
         assert fleet.requests_served <= sum(fleet.endpoints.attempts.values()) == len(fleet.forwarded)
@@ -72,7 +72,7 @@
         assert fleet.added_latency.count() == fleet.requests_served
 
         discovery.replace([msgspec.structs.replace(instance, lifecycle="draining") for instance in DRAINING])
-        while any(sum(dispatcher._hosts._accepts_requests.values()) > 30 for dispatcher in fleet.dispatchers):
+        while any(sum(dispatcher._pool._accepts_requests.values()) > 30 for dispatcher in fleet.dispatchers):
             await asyncio.sleep(0.01)
         fleet.endpoints.attempts.clear()
         await fleet.run_load(0.5)
