--- a/tests/support/http_fakes.py
+++ b/tests/support/http_fakes.py
@@ -1,4 +1,4 @@
-"""Scripted HTTP servers on loopback sockets: hosts, the counter and discovery, and the messages to them."""
+"""Scripted HTTP servers on loopback sockets, and the requests and responses that tests exchange with them."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent.parent
-LOOP = "127.0.0.1"
-RID = b"9b1f03aa5c7e2d41"
+LOOPBACK = "127.0.0.1"
+DEFAULT_REQUEST_ID = b"9b1f03aa5c7e2d41"
 CLASS_SETTINGS = [
     {"name": "read", "objective_ms": 3000.0, "deadline_ms": 6000.0, "worth": 3.0, "effect": "safe"},
     {
@@ -26,81 +26,125 @@
 ]
 PLAN_SETTINGS = [
     {"name": "team", "refill": 500.0, "burst": 1000.0, "worth_factor": 1.0},
-    # Earns what a request takes before the first one can come: a start gives nothing away.
+    # Refills fast enough to pay for the first request: a token bucket is empty when the program starts.
     {"name": "quick", "refill": 1e6, "burst": 1e6, "worth_factor": 1.0},
     {"name": "small", "refill": 1.0, "burst": 4.0, "worth_factor": 1.0, "over_cost": 1.0},
 ]
-Behaviour = Callable[["ReceivedMessage"], bytes | None]
 
 
-def reply(body: bytes = b"ok", status: int = 200, headers: bytes = b"") -> bytes:
+def response_bytes(body: bytes = b"ok", status: int = 200, headers: bytes = b"") -> bytes:
+    """Return an HTTP response.
+
+    Args:
+        body: The response body.
+        status: The status code.
+        headers: Further header lines, each with its CRLF.
+    """
     return b"HTTP/1.1 %d X\r\n%bContent-Length: %d\r\n\r\n%b" % (status, headers, len(body), body)
 
 
-def message(
-    cls: str = "read",
+def request_bytes(
+    class_name: str = "read",
     *,
-    customer: str = "00000000b4d65521",
+    tenant: str = "00000000b4d65521",
     plan: str = "team",
     body: bytes = b"",
     deadline: str = "6000m",
-    rid: bytes = RID,
+    request_id: bytes = DEFAULT_REQUEST_ID,
     method: str = "",
-    drop: str = "",
-    more: str = "",
-    key: bool = True,
+    without_header: str = "",
+    extra_headers: str = "",
+    has_idempotency_key: bool = True,
     target: str = "",
 ) -> bytes:
-    """A client's request as bytes; `drop` leaves a header out, `more` adds lines."""
-    method = method or ("GET" if cls == "read" else "POST")
-    lines = {
+    """Return the HTTP request of a client.
+
+    Args:
+        class_name: The request class.
+        tenant: Last segment of the default target.
+        plan: The tenant's plan.
+        body: The request body.
+        deadline: Value of X-Deadline.
+        request_id: Value of X-Request-Id.
+        method: The method; by default GET for the class `read`, POST for all others.
+        without_header: Name of a header that is left out.
+        extra_headers: Further header lines, each with its CRLF.
+        has_idempotency_key: Whether a POST carries an Idempotency-Key.
+        target: The request target; by default the path of the tenant.
+    """
+    method = method or ("GET" if class_name == "read" else "POST")
+    headers = {
         "Host": "origin.svc",
-        "X-Request-Id": rid.decode(),
-        "X-Class": cls,
+        "X-Request-Id": request_id.decode(),
+        "X-Class": class_name,
         "Plan": plan,
         "X-Deadline": deadline,
         "Quota-Info": "units=2,spread=1,first=0",
     }
     if method == "POST":
-        lines["Content-Length"] = str(len(body))
-        if key:
-            lines["Idempotency-Key"] = "5c0f6e1a"
-    lines.pop(drop, None)
-    head = "".join(f"{name}: {value}\r\n" for name, value in lines.items())
-    return f"{method} {target or '/api/' + customer} HTTP/1.1\r\n{head}{more}\r\n".encode() + body
+        headers["Content-Length"] = str(len(body))
+        if has_idempotency_key:
+            headers["Idempotency-Key"] = "5c0f6e1a"
+    headers.pop(without_header, None)
+    lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
+    return f"{method} {target or '/api/' + tenant} HTTP/1.1\r\n{lines}{extra_headers}\r\n".encode() + body
 
 
 @dataclasses.dataclass
 class ReceivedMessage:
-    """A message that a fake has read, and the connection that it came on."""
+    """A request or response as read from a connection.
+
+    Attributes:
+        start_line: Request line or status line (RFC 9112 section 2.1).
+        headers: Header values by name in lower case.
+        body: The message body.
+        writer: The connection on which it was received.
+    """
 
-    line: str
+    start_line: str
     headers: dict[str, str]
     body: bytes
     writer: asyncio.StreamWriter
 
 
+Responder = Callable[[ReceivedMessage], bytes | None]
+
+
 async def read_message(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> ReceivedMessage:
-    """One request or answer, whole."""
-    line, *rest = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
-    headers = {k.lower(): v for k, _, v in (r.partition(": ") for r in rest if r)}
+    """Read one complete request or response."""
+    start_line, *lines = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
+    fields = (line.partition(": ") for line in lines if line)
+    headers = {name.lower(): value for name, _, value in fields}
     body = await reader.readexactly(int(headers.get("content-length", 0)))
-    return ReceivedMessage(line, headers, body, writer)
+    return ReceivedMessage(start_line, headers, body, writer)
 
 
 class FakeServer:
-    """A scripted HTTP server: `behave` turns a request into bytes; None is silence, b"" a reset."""
-
-    def __init__(self, behave: Behaviour) -> None:
-        self.behave = behave
-        self.seen: list[ReceivedMessage] = []
-        self.opened = self.closed = 0  # connections; those that the other side ended
-        self.writers: set[asyncio.StreamWriter] = set()  # of the connections that are open
+    """A scripted HTTP server.
+
+    Attributes:
+        respond: Returns the bytes to answer a request with; None sends nothing, b"" resets the connection.
+        received: All requests so far.
+        opened: Number of connections accepted so far.
+        closed: Number of connections that the other side has ended.
+        writers: The open connections.
+        changed: Set with each change of the attributes above.
+        asyncio_server: The listening server, from `start` on.
+        port: Its port.
+    """
+
+    def __init__(self, respond: Responder) -> None:
+        self.respond = respond
+        self.received: list[ReceivedMessage] = []
+        self.opened = 0
+        self.closed = 0
+        self.writers: set[asyncio.StreamWriter] = set()
         self.changed = asyncio.Event()
 
     async def start(self) -> FakeServer:
-        self.endpoint = await asyncio.start_server(self._serve, LOOP, 0)
-        self.port = self.endpoint.sockets[0].getsockname()[1]
+        """Listen on a free port."""
+        self.asyncio_server = await asyncio.start_server(self._serve, LOOPBACK, 0)
+        self.port = self.asyncio_server.sockets[0].getsockname()[1]
         return self
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -109,15 +153,15 @@
         self.changed.set()
         try:
             while True:
-                seen = await read_message(reader, writer)
-                self.seen.append(seen)
+                request = await read_message(reader, writer)
+                self.received.append(request)
                 self.changed.set()
-                answer = self.behave(seen)
-                if answer == b"":
+                response = self.respond(request)
+                if response == b"":
                     writer.transport.abort()
                     return
-                if answer is not None:
-                    writer.write(answer)
+                if response is not None:
+                    writer.write(response)
         except (asyncio.IncompleteReadError, ConnectionError):
             self.closed += 1
             self.changed.set()
@@ -125,57 +169,69 @@
             self.writers.discard(writer)
             writer.close()
 
-    async def until(self, ready: Callable[[FakeServer], bool]) -> None:
-        """Wait for what the fake sees; a test that waits in vain ends at its own limit."""
-        while not ready(self):
+    async def wait_until(self, condition: Callable[[FakeServer], bool]) -> None:
+        """Wait until `condition` holds; the time limit of the scenario bounds the wait."""
+        while not condition(self):
             self.changed.clear()
             await self.changed.wait()
 
     def stop(self) -> None:
-        self.endpoint.close()
+        """Stop listening; open connections stay open."""
+        self.asyncio_server.close()
 
 
-def counter_response(seen: ReceivedMessage, totals: dict[str, float]) -> bytes:
-    """The counter: add, and tell the total."""
-    name, query = seen.line.split()[1].removeprefix("/v1/count/").split("?")
+def counter_response(request: ReceivedMessage, totals: dict[str, float]) -> bytes:
+    """Add the increment that a request names to `totals`, and return the response with the new total."""
+    name, query = request.start_line.split()[1].removeprefix("/v1/count/").split("?")
     totals[name] = totals.get(name, 0.0) + float(query.split("&")[0].removeprefix("add="))
-    return reply(f"{totals[name]:g}".encode())
+    return response_bytes(f"{totals[name]:g}".encode())
 
 
 class FakeDiscovery:
-    """Discovery: the whole list at once, a watch held until `tell`."""
+    """A discovery service: returns the full list at once and holds each long poll until `publish`.
+
+    Attributes:
+        generation: Generation of the current list.
+        instances: The full list, as on the wire.
+        pending_polls: Long polls that have no response yet.
+        server: The HTTP server.
+    """
 
     def __init__(self, instances: list[dict]) -> None:
-        self.generation, self.instances = 1, instances
-        self.waiting: list[ReceivedMessage] = []
-        self.fake = FakeServer(self._behave)
-
-    def _behave(self, seen: ReceivedMessage) -> bytes | None:
-        if "after=" not in seen.line:
-            return self.listing(self.instances, True)
-        self.waiting.append(seen)
+        self.generation = 1
+        self.instances = instances
+        self.pending_polls: list[ReceivedMessage] = []
+        self.server = FakeServer(self._respond)
+
+    def _respond(self, request: ReceivedMessage) -> bytes | None:
+        if "after=" not in request.start_line:
+            return self.list_response(self.instances, True)
+        self.pending_polls.append(request)
         return None
 
-    def listing(self, instances: list[dict], whole: bool) -> bytes:
-        raw = {"generation": self.generation, "reset": whole, "instances": instances}
-        return reply(json.dumps(raw).encode())
+    def list_response(self, instances: list[dict], is_full: bool) -> bytes:
+        """Return a response with a full list, or with changes alone."""
+        body = {"generation": self.generation, "reset": is_full, "instances": instances}
+        return response_bytes(json.dumps(body).encode())
 
-    async def tell(self, instances: list[dict], whole: bool = False) -> None:
-        """Answer the watch that is out, and wait for the next one."""
-        await self.answer_watch(lambda: self.listing(instances, whole))
+    async def publish(self, instances: list[dict], is_full: bool = False) -> None:
+        """Answer the pending long poll with a new generation, and wait for the next poll."""
+        await self.answer_poll(lambda: self.list_response(instances, is_full))
 
-    async def answer_watch(self, data: Callable[[], bytes]) -> None:
-        await self.fake.until(lambda fake: bool(self.waiting))
+    async def answer_poll(self, response: Callable[[], bytes]) -> None:
+        """Answer the pending long poll with arbitrary bytes, and wait for the next request."""
+        await self.server.wait_until(lambda _: bool(self.pending_polls))
         self.generation += 1
-        count = len(self.fake.seen)
-        self.waiting.pop().writer.write(data())
-        await self.fake.until(lambda fake: len(fake.seen) > count)
+        count = len(self.server.received)
+        self.pending_polls.pop().writer.write(response())
+        await self.server.wait_until(lambda server: len(server.received) > count)
 
 
 def instance(name: str, port: int, lifecycle: str = "ready") -> dict:
+    """Return an entry of the endpoint list as discovery sends it."""
     return {
         "instanceId": name,
-        "hostPort": f"{LOOP}:{port}",
+        "hostPort": f"{LOOPBACK}:{port}",
         "zone": "a",
         "machineType": "m",
         "cell": 0,
--- a/tests/support/program.py
+++ b/tests/support/program.py
@@ -1,4 +1,4 @@
-"""The real program, started between scripted servers."""
+"""The gateway as a process of its own, between scripted endpoints, a counter and discovery."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 from support.http_fakes import (
     CLASS_SETTINGS,
-    LOOP,
+    LOOPBACK,
     PLAN_SETTINGS,
     ROOT,
-    Behaviour,
     FakeDiscovery,
     FakeServer,
     ReceivedMessage,
+    Responder,
     counter_response,
     instance,
     read_message,
@@ -29,48 +29,80 @@
 
 
 class RunningProgram:
-    """The real program between fake hosts, a fake counter and a fake discovery."""
+    """The real program and the services that it talks to; an asynchronous context manager.
+
+    Attributes:
+        endpoints: The upstream endpoints, one for each responder; discovery names them s-0, s-1...
+        totals: Totals of the counter by name.
+        counter: The counter service.
+        discovery: The discovery service.
+        process: The program.
+        port: The port on which it listens.
+        log: Its log lines so far.
+        cached_list: The endpoint list in its configuration file, used at its next start.
+    """
 
     def __init__(
-        self, folder: Path, *behaves: Behaviour, asked: bool = False, fleet: int = 1, **limits: int
+        self,
+        folder: Path,
+        *responders: Responder,
+        polls_discovery: bool = False,
+        fleet_size: int = 1,
+        **limits: int,
     ) -> None:
-        """`asked`: the list comes only on request; `fleet`: its size, of which this is the first."""
-        self.folder, self.limits, self.asked, self.fleet = folder, limits, asked, fleet
-        self.hosts = [FakeServer(b) for b in behaves]
+        """Describe the program; it starts with the context.
+
+        Args:
+            folder: Where its configuration file is written.
+            responders: One for each endpoint.
+            polls_discovery: Whether discovery sends the endpoint list on request only.
+            fleet_size: Number of gateways, of which the program is the first.
+            limits: Entries of the configuration's `limits`.
+        """
+        self.folder = folder
+        self.limits = limits
+        self.polls_discovery = polls_discovery
+        self.fleet_size = fleet_size
+        self.endpoints = [FakeServer(responder) for responder in responders]
         self.totals: dict[str, float] = {}
-        self.counter = FakeServer(lambda seen: counter_response(seen, self.totals))
+        self.counter = self._new_counter()
         self.process: asyncio.subprocess.Process | None = None
         self.port = 0
         self.log: list[str] = []
-        self.known: dict = {"generation": 0, "reset": True, "instances": []}
+        self.cached_list: dict = {"generation": 0, "reset": True, "instances": []}
 
     async def __aenter__(self) -> RunningProgram:
-        for host in self.hosts:
-            await host.start()
+        for endpoint in self.endpoints:
+            await endpoint.start()
         await self.counter.start()
-        self.directory = FakeDiscovery([instance(f"s-{i}", h.port) for i, h in enumerate(self.hosts)])
-        await self.directory.fake.start()
+        self.discovery = FakeDiscovery(
+            [instance(f"s-{i}", endpoint.port) for i, endpoint in enumerate(self.endpoints)]
+        )
+        await self.discovery.server.start()
         await self.launch()
         return self
 
-    def write_config(self) -> Path:
-        """The file that the program reads at its start and on SIGHUP."""
-        config = {
+    def _new_counter(self) -> FakeServer:
+        return FakeServer(lambda request: counter_response(request, self.totals))
+
+    def write_configuration(self) -> Path:
+        """Write the file that the program reads at its start and on SIGHUP; return its path."""
+        configuration = {
             "name": "n0",
-            "listen": f"{LOOP}:{self.port}",
-            "discovery": f"{LOOP}:{self.directory.fake.port}",
+            "listen": f"{LOOPBACK}:{self.port}",
+            "discovery": f"{LOOPBACK}:{self.discovery.server.port}",
             "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024, **self.limits},
-            "counter": f"{LOOP}:{self.counter.port}",
-            "known": self.known,
+            "counter": f"{LOOPBACK}:{self.counter.port}",
+            "known": self.cached_list,
             "settings": {
                 "grades": CLASS_SETTINGS,
                 "packages": PLAN_SETTINGS,
-                "fleet_size": self.fleet,
+                "fleet_size": self.fleet_size,
                 "me": 0,
                 "zone": "a",
                 "tick_ms": 4.0,
-                "membership_mode": "on_request" if self.asked else "pushed",
+                "membership_mode": "on_request" if self.polls_discovery else "pushed",
                 "bounds": {
                     "try_limit": 3,
                     "cancel": True,
@@ -83,23 +115,21 @@
             },
         }
         path = self.folder / "config.json"
-        path.write_text(json.dumps(config))
+        path.write_text(json.dumps(configuration))
         return path
 
     async def reload(self, instances: list[dict]) -> None:
-        """SIGHUP, with a new discovery and a new counter in the file; the old ones answer no more."""
-        self.directory, self.counter = (
-            FakeDiscovery(instances),
-            FakeServer(lambda seen: counter_response(seen, self.totals)),
-        )
-        await self.directory.fake.start()
+        """Send SIGHUP with a new discovery service and a new counter in the configuration file."""
+        self.discovery = FakeDiscovery(instances)
+        self.counter = self._new_counter()
+        await self.discovery.server.start()
         await self.counter.start()
-        self.write_config()
+        self.write_configuration()
         self.process.send_signal(signal.SIGHUP)
 
     async def launch(self) -> None:
-        """Start the program, again on the same port if it ran before, and wait until it is ready."""
-        path = self.write_config()
+        """Start the program, on the same port if it ran before, and wait until it reports to be ready."""
+        path = self.write_configuration()
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -109,7 +139,7 @@
             env={
                 **os.environ,
                 "ROUTER_CONFIG": str(path),
-                "ROUTER_DISCOVERY": f"{LOOP}:{self.directory.fake.port}",
+                "ROUTER_DISCOVERY": f"{LOOPBACK}:{self.discovery.server.port}",
             },
         )
         while "listening on" not in (line := (await self.process.stderr.readline()).decode()):
@@ -117,8 +147,8 @@
         self.port = int(line.rsplit(":", 1)[1])
         if "sockets" in self.limits:
             resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (self.limits["sockets"],) * 2)
-        self.reading = asyncio.create_task(self._read_log())
-        while (await self.ask(b"GET /ready HTTP/1.1\r\n\r\n")).line.split()[1] != "200":
+        self.log_reader = asyncio.create_task(self._read_log())
+        while await self.request_status(b"GET /ready HTTP/1.1\r\n\r\n") != 200:
             await asyncio.sleep(0.02)
 
     async def _read_log(self) -> None:
@@ -126,10 +156,11 @@
             self.log.append(line)
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        return await asyncio.open_connection(LOOP, self.port)
+        """Open a connection to the program."""
+        return await asyncio.open_connection(LOOPBACK, self.port)
 
-    async def ask(self, data: bytes) -> ReceivedMessage:
-        """One request on a connection of its own; its answer."""
+    async def request(self, data: bytes) -> ReceivedMessage:
+        """Send a request on a connection of its own, and return the response."""
         reader, writer = await self.connect()
         writer.write(data)
         try:
@@ -137,23 +168,30 @@
         finally:
             writer.close()
 
-    async def status(self, data: bytes) -> int:
-        return int((await self.ask(data)).line.split()[1])
+    async def request_status(self, data: bytes) -> int:
+        """Send a request on a connection of its own, and return the status of the response."""
+        response = await self.request(data)
+        return int(response.start_line.split()[1])
 
-    async def __aexit__(self, *exc: object) -> None:
+    async def __aexit__(self, *exception: object) -> None:
         if self.process.returncode is None:
             self.process.kill()
             await self.process.wait()
-        self.reading.cancel()
-        for fake in (*self.hosts, self.counter, self.directory.fake):
-            fake.stop()
+        self.log_reader.cancel()
+        for server in (*self.endpoints, self.counter, self.discovery.server):
+            server.stop()
 
 
 def run_scenario(scenario: Callable[[], Coroutine], limit_s: float = 30.0) -> None:
-    """Run a scenario; one that waits for what never happens fails at the limit."""
+    """Run a scenario to its end; it fails once the time limit is over.
+
+    Args:
+        scenario: The coroutine function to run.
+        limit_s: Time limit in seconds.
+    """
 
     async def bounded() -> None:
         async with asyncio.timeout(limit_s):
             await scenario()
 
-    uvloop.run(bounded())  # as the program does: its loop fires timers before it reads sockets
+    uvloop.run(bounded())  # the loop of the program: it fires timers before it reads sockets
--- a/tests/test_acceptance_terms.py
+++ b/tests/test_acceptance_terms.py
@@ -18,7 +18,15 @@
 import pytest
 from support.fleet_simulation import FleetSimulation
 from support.gateway_driver import KEYED, GatewayDriver, actions_of_type, endpoint
-from support.http_fakes import CLASS_SETTINGS, LOOP, PLAN_SETTINGS, FakeServer, instance, message, reply
+from support.http_fakes import (
+    CLASS_SETTINGS,
+    LOOPBACK,
+    PLAN_SETTINGS,
+    FakeServer,
+    instance,
+    request_bytes,
+    response_bytes,
+)
 from support.program import RunningProgram, run_scenario
 from test_net_parts import Answers, Held, an_order, core_with, dialling
 
@@ -65,19 +73,19 @@
     """The connection is up, its end not told: the write asks again. The timer that ends a dial is off."""
 
     async def scenario() -> None:
-        host = FakeServer(lambda seen: reply(b"served"))
+        host = FakeServer(lambda seen: response_bytes(b"served"))
         monkeypatch.setattr(ConnectionPool, "_watch_write", lambda self, attempt: None)
         dispatcher, script, held, client = await dialling(
             monkeypatch, host, FailRequest, write_timeout_ms=60_000
         )
-        await host.until(lambda fake: fake.opened == 1)
+        await host.wait_until(lambda fake: fake.opened == 1)
         (attempt,) = dispatcher._hosts._dialling
         attempt.write_by = time.monotonic() - 0.001  # the window is over
         held.let_up.set()
         assert await client.got.get() == 502
         assert script.outcomes() == [AttemptResult.WITHDRAWN]
-        await host.until(lambda fake: fake.closed == 1)
-        assert not host.seen
+        await host.wait_until(lambda fake: fake.closed == 1)
+        assert not host.received
         host.stop()
 
     run_scenario(scenario, 3)
@@ -87,7 +95,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
-        host = FakeServer(lambda seen: reply(b"served"))
+        host = FakeServer(lambda seen: response_bytes(b"served"))
         dispatcher, script = await core_with(monkeypatch, host)
         dispatcher._hosts._loop = Held(dispatcher._loop)  # never comes up
         dispatcher._hosts._dial_s = 60.0
@@ -104,7 +112,7 @@
 
 def test_a_window_that_is_over_at_the_send_writes_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        host = FakeServer(lambda seen: reply(b"served"))
+        host = FakeServer(lambda seen: response_bytes(b"served"))
         dispatcher, script = await core_with(monkeypatch, host)
         client = Answers()
         script.plan[RequestReceived] = [StartAttempt("r1", "s-0", 5000, write_timeout_ms=-1)]
@@ -168,7 +176,7 @@
 
 def test_the_time_told_to_a_host_is_what_is_left_at_the_write(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        host = FakeServer(lambda seen: reply(b"served"))
+        host = FakeServer(lambda seen: response_bytes(b"served"))
         dispatcher, script = await core_with(monkeypatch, host)
         dispatcher._hosts._loop = held = Held(dispatcher._loop)
         script.plan[RequestReceived] = [StartAttempt("r1", "s-0", 2000)]
@@ -178,7 +186,7 @@
         attempt.until, attempt.sent_at = attempt.until - 1.5, attempt.sent_at - 1.5  # a slow dial
         held.let_up.set()
         assert await client.got.get() == 200
-        assert int(host.seen[0].headers["x-deadline"].removesuffix("m")) <= 500
+        assert int(host.received[0].headers["x-deadline"].removesuffix("m")) <= 500
         host.stop()
 
     run_scenario(scenario, 3)
@@ -188,9 +196,9 @@
     """Same id, same address, a later start: its budget is a cold one's, and the module has to decide anew."""
 
     async def scenario() -> None:
-        host = FakeServer(lambda seen: reply(b"served"))
+        host = FakeServer(lambda seen: response_bytes(b"served"))
         dispatcher, script, _, client = await dialling(monkeypatch, host)
-        await host.until(lambda fake: fake.opened == 1)
+        await host.wait_until(lambda fake: fake.opened == 1)
         anew = {**instance("s-0", host.port), "startedAtMs": 1e12}
         dispatcher._listed(parse_endpoint_list({"generation": 2, "reset": False, "instances": [anew]}))
         assert client.got.get_nowait() == 503 and script.outcomes() == [AttemptResult.WITHDRAWN]
@@ -403,7 +411,7 @@
     def __init__(self, dispatcher: Dispatcher, script: object, host: FakeServer) -> None:
         self.dispatcher, self.script, self.host = dispatcher, script, host
         self.endpoint = Listener(dispatcher, asyncio.get_running_loop(), 1024)
-        self.address = self.endpoint.start((LOOP, 0))
+        self.address = self.endpoint.start((LOOPBACK, 0))
 
     def client(self, *sent: bytes) -> socket.socket:
         client = socket.create_connection(self.address)
@@ -421,11 +429,11 @@
         """Nothing is begun at the host, however long the loop runs on: each of its steps is taken."""
         for _ in range(50):
             await asyncio.sleep(0.001)
-        assert len(self.host.seen) == begun, [s.line for s in self.host.seen]
+        assert len(self.host.received) == begun, [s.start_line for s in self.host.received]
 
 
-ONE = message(rid=b"0000000000000001")
-TWO = message(rid=b"0000000000000002")
+ONE = request_bytes(request_id=b"0000000000000001")
+TWO = request_bytes(request_id=b"0000000000000002")
 WAYS_TO_A_WRITE = (
     "waits for a total",
     "after a reset",
@@ -454,7 +462,7 @@
         client = front.client(ONE)
         rid = await front.asked()
         if way in ("after a reset", "after a time-out", "after a kept connection ended"):
-            await host.until(lambda fake: len(fake.seen) == 1)
+            await host.wait_until(lambda fake: len(fake.received) == 1)
             begun = 1
         if way == "behind unread bytes":
             client.sendall(TWO)  # the second one waits, and the end behind it is not read
@@ -512,13 +520,15 @@
             script.plan[RequestReceived] = [StartAttempt("r1", "s-0", 5000)]
             client = front.client(ONE)
             await front.asked()
-            await host.until(lambda fake: fake.opened == 1)
+            await host.wait_until(lambda fake: fake.opened == 1)
             if not read:
                 held.let_up.set()  # its end is told in the next turn
             client.close()
-            await host.until(lambda fake: fake.closed == 1)
+            await host.wait_until(lambda fake: fake.closed == 1)
             assert (
-                script.outcomes() == [AttemptResult.WITHDRAWN] and not host.seen and not dispatcher._requests
+                script.outcomes() == [AttemptResult.WITHDRAWN]
+                and not host.received
+                and not dispatcher._requests
             )
             host.stop()
 
@@ -533,12 +543,12 @@
     """The real program at the system's own limit: discovery, the counter and the hosts find a descriptor."""
 
     async def scenario() -> None:
-        async with RunningProgram(tmp_path, lambda seen: reply(b"served"), sockets=sockets) as rig:
+        async with RunningProgram(tmp_path, lambda seen: response_bytes(b"served"), sockets=sockets) as rig:
             folder = f"/proc/{rig.process.pid}/fd"
             # Discovery and the counter go down, and clients come that hold their connections and say nothing.
-            rig.directory.fake.stop()
+            rig.discovery.server.stop()
             rig.counter.stop()
-            for fake in (rig.directory.fake, rig.counter):
+            for fake in (rig.discovery.server, rig.counter):
                 for writer in list(fake.writers):
                     writer.transport.abort()
 
@@ -554,7 +564,7 @@
                 """A request, again on a new connection if its own had to make room unread."""
                 while True:
                     with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
-                        if await rig.status(message(rid=b"%016x" % number)) == 200:
+                        if await rig.request_status(request_bytes(request_id=b"%016x" % number)) == 200:
                             return
                     number += 1
 
@@ -565,10 +575,10 @@
                 await asyncio.sleep(0.01)
             await served(0x100)
             # Back at the same addresses: the dials must find descriptors though clients still hold theirs.
-            for fake in (rig.directory.fake, rig.counter):
+            for fake in (rig.discovery.server, rig.counter):
                 opened = fake.opened
-                fake.endpoint = await asyncio.start_server(fake._serve, LOOP, fake.port)
-                await fake.until(lambda fake, opened=opened: fake.opened > opened)
+                fake.asyncio_server = await asyncio.start_server(fake._serve, LOOPBACK, fake.port)
+                await fake.wait_until(lambda fake, opened=opened: fake.opened > opened)
                 while len(os.listdir(folder)) < full + 10:  # and are as many again
                     await asyncio.sleep(0.01)
             await served(0x10000)
@@ -584,8 +594,10 @@
     to the counter and to discovery twice while it moves them, and one client is being accepted."""
 
     async def scenario() -> None:
-        async with RunningProgram(tmp_path, lambda seen: reply(b"served"), sockets=LEAST_SOCKETS) as rig:
-            await rig.counter.until(lambda fake: fake.opened == 4)
+        async with RunningProgram(
+            tmp_path, lambda seen: response_bytes(b"served"), sockets=LEAST_SOCKETS
+        ) as rig:
+            await rig.counter.wait_until(lambda fake: fake.opened == 4)
             own = LEAST_SOCKETS
             for _ in range(30):  # until the connection that asked whether it is ready is gone
                 own = min(own, len(os.listdir(f"/proc/{rig.process.pid}/fd")))
@@ -601,8 +613,8 @@
     with pytest.raises(ConfigurationError, match="the system allows 64 descriptors, 128 are needed"):
         parse(
             {
-                "listen": f"{LOOP}:1",
-                "discovery": f"{LOOP}:2",
+                "listen": f"{LOOPBACK}:1",
+                "discovery": f"{LOOPBACK}:2",
                 "seed": "1",
                 "settings": {"grades": CLASS_SETTINGS, "packages": PLAN_SETTINGS},
             }
@@ -620,18 +632,20 @@
     """From the exec on, with the list it was configured with: its own waits count, not discovery's."""
 
     async def scenario() -> None:
-        async with RunningProgram(tmp_path, lambda seen: reply(b"served"), asked=asked, fleet=200) as rig:
-            rig.known = {"generation": 1, "reset": True, "instances": rig.directory.instances}
+        async with RunningProgram(
+            tmp_path, lambda seen: response_bytes(b"served"), polls_discovery=asked, fleet_size=200
+        ) as rig:
+            rig.cached_list = {"generation": 1, "reset": True, "instances": rig.discovery.instances}
             rig.process.kill()
             await rig.process.wait()
             if discovery == "refusing":
-                rig.directory.fake.stop()
-            answers = {"silent": None, "turning away": reply(b"", 503), "resetting": b""}
-            rig.directory.fake.behave = lambda seen: answers.get(discovery)
+                rig.discovery.server.stop()
+            answers = {"silent": None, "turning away": response_bytes(b"", 503), "resetting": b""}
+            rig.discovery.server.respond = lambda seen: answers.get(discovery)
             began = time.monotonic()
             await rig.launch()  # returns once it is ready
             assert time.monotonic() - began < READY_S
-            assert await rig.status(message(rid=b"restarted")) == 200
+            assert await rig.request_status(request_bytes(request_id=b"restarted")) == 200
 
     run_scenario(scenario, 30)
 
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -8,7 +8,7 @@
 
 import pytest
 from support.gateway_driver import PLAN, SAFE, settings
-from support.http_fakes import LOOP, message
+from support.http_fakes import LOOPBACK, request_bytes
 from support.program import run_scenario
 
 from api_gateway.network.dispatcher import InboundRequest
@@ -45,7 +45,7 @@
     def __init__(self, sockets: int = 1024) -> None:
         self.dispatcher = Dispatcher()
         self.endpoint = Listener(self.dispatcher, asyncio.get_running_loop(), sockets)
-        self.address = self.endpoint.start((LOOP, 0))
+        self.address = self.endpoint.start((LOOPBACK, 0))
 
     def client(self, *sent: bytes) -> socket.socket:
         client = socket.create_connection(self.address)
@@ -76,7 +76,7 @@
     async def scenario() -> None:
         rig = RunningProgram()
         some = 2 * ACCEPTS + 3
-        clients = [rig.client(message(rid=b"id-%d" % i)) for i in range(some)]
+        clients = [rig.client(request_bytes(request_id=b"id-%d" % i)) for i in range(some)]
         assert rig.endpoint.stop_accepting()  # the loop has had no turn: none is accepted yet
         for client in clients:
             assert (await rig.read(client)).startswith(b"HTTP/1.1 200")
@@ -89,7 +89,7 @@
 def test_the_listener_stays_open_while_there_is_no_room_for_its_backlog() -> None:
     async def scenario() -> None:
         rig = RunningProgram(sockets=4)  # two clients
-        clients = [rig.client(message(rid=b"id-%d" % i)) for i in range(4)]
+        clients = [rig.client(request_bytes(request_id=b"id-%d" % i)) for i in range(4)]
         assert not rig.endpoint.stop_accepting()
         while not rig.endpoint.stop_accepting():
             await asyncio.sleep(0.01)
@@ -103,9 +103,9 @@
 def test_an_idle_connection_whose_next_request_is_unread_is_not_closed() -> None:
     async def scenario() -> None:
         rig = RunningProgram()
-        kept, quiet = rig.client(message(rid=b"a")), rig.client(message(rid=b"b"))
+        kept, quiet = rig.client(request_bytes(request_id=b"a")), rig.client(request_bytes(request_id=b"b"))
         assert await rig.read(kept) and await rig.read(quiet)
-        kept.sendall(message(rid=b"c"))
+        kept.sendall(request_bytes(request_id=b"c"))
         rig.dispatcher.draining = True
         assert not rig.endpoint.close_idle()
         assert (await rig.read(kept)).startswith(b"HTTP/1.1 200")
@@ -125,7 +125,7 @@
             await asyncio.sleep(0.001)
         rig.dispatcher.draining = True
         assert not rig.endpoint.close_idle()
-        fresh.sendall(message(rid=b"a"))
+        fresh.sendall(request_bytes(request_id=b"a"))
         assert (await rig.read(fresh)).startswith(b"HTTP/1.1 200")
         while not rig.endpoint.close_idle():
             await asyncio.sleep(0.01)
@@ -137,10 +137,13 @@
 def test_a_connection_whose_next_request_is_unread_does_not_give_way() -> None:
     async def scenario() -> None:
         rig = RunningProgram()
-        oldest, second = rig.client(message(rid=b"a")), rig.client(message(rid=b"b"))
+        oldest, second = (
+            rig.client(request_bytes(request_id=b"a")),
+            rig.client(request_bytes(request_id=b"b")),
+        )
         assert await rig.read(oldest) and await rig.read(second)
         rig.endpoint._most = 2
-        oldest.sendall(message(rid=b"c"))
+        oldest.sendall(request_bytes(request_id=b"c"))
         assert rig.endpoint._room()  # what a third client asks for
         assert (await rig.read(oldest)).startswith(b"HTTP/1.1 200")
         assert await rig.read(second) == b""
@@ -151,9 +154,9 @@
 def test_a_silent_connection_is_closed_but_not_one_whose_request_is_unread() -> None:
     async def scenario() -> None:
         rig = RunningProgram()
-        asks, silent = rig.client(message(rid=b"a")), rig.client(message(rid=b"b"))
+        asks, silent = rig.client(request_bytes(request_id=b"a")), rig.client(request_bytes(request_id=b"b"))
         assert await rig.read(asks) and await rig.read(silent)
-        asks.sendall(message(rid=b"c"))
+        asks.sendall(request_bytes(request_id=b"c"))
         for connection in list(rig.endpoint.connections):
             connection.check(rig.endpoint.loop.time() + listener_module.IDLE_S + 1)
         assert (await rig.read(asks)).startswith(b"HTTP/1.1 200")
@@ -166,7 +169,7 @@
     async def scenario() -> None:
         rig = RunningProgram()
         rig.dispatcher.draining = rig.dispatcher.ended = True
-        client = rig.client(message(rid=b"late"))
+        client = rig.client(request_bytes(request_id=b"late"))
         assert (await rig.read(client)).startswith(b"HTTP/1.1 503") and not rig.dispatcher.taken
 
     run_scenario(scenario, 5)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -12,14 +12,14 @@
 
 import pytest
 from support.http_fakes import (
-    LOOP,
+    LOOPBACK,
     ROOT,
     ReceivedMessage,
     counter_response,
     instance,
-    message,
     read_message,
-    reply,
+    request_bytes,
+    response_bytes,
 )
 from support.program import RunningProgram, run_scenario
 
@@ -27,7 +27,7 @@
 
 
 def serve(seen: ReceivedMessage) -> bytes:
-    return reply(b"served")
+    return response_bytes(b"served")
 
 
 def silent(seen: ReceivedMessage) -> None:
@@ -41,30 +41,34 @@
 def test_serves_and_passes_on_unchanged(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with RunningProgram(
-            tmp_path, lambda seen: reply(b"\0body", headers=b"Billed-Units: 5\r\n")
+            tmp_path, lambda seen: response_bytes(b"\0body", headers=b"Billed-Units: 5\r\n")
         ) as rig:
-            answer = await rig.ask(message("put", body=b"x" * 3000, target="/api/v2/00000000b4d65521?a=1"))
-            assert (answer.line.split()[1], answer.body) == ("200", b"\0body")
-            (seen,) = rig.hosts[0].seen
-            assert seen.line == "POST /api/v2/00000000b4d65521?a=1 HTTP/1.1"
+            answer = await rig.request(
+                request_bytes("put", body=b"x" * 3000, target="/api/v2/00000000b4d65521?a=1")
+            )
+            assert (answer.start_line.split()[1], answer.body) == ("200", b"\0body")
+            (seen,) = rig.endpoints[0].received
+            assert seen.start_line == "POST /api/v2/00000000b4d65521?a=1 HTTP/1.1"
             assert seen.body == b"x" * 3000
             assert seen.headers["x-request-id"] == "9b1f03aa5c7e2d41"
             assert seen.headers["idempotency-key"] == "5c0f6e1a"
             assert 0 < int(seen.headers["x-deadline"].removesuffix("m")) <= 6000
             # The units of the guess, then what the answer billed beyond it, reach the counter.
-            await rig.counter.until(lambda fake: sum(rig.totals.values()) >= 2)
+            await rig.counter.wait_until(lambda fake: sum(rig.totals.values()) >= 2)
 
     run_scenario(scenario)
 
 
 def test_answers_keep_their_order_on_one_connection(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with RunningProgram(tmp_path, lambda seen: reply(seen.headers["x-request-id"].encode())) as rig:
+        async with RunningProgram(
+            tmp_path, lambda seen: response_bytes(seen.headers["x-request-id"].encode())
+        ) as rig:
             reader, writer = await rig.connect()
-            writer.write(b"".join(message(rid=b"id-%d" % i) for i in range(5)))
+            writer.write(b"".join(request_bytes(request_id=b"id-%d" % i) for i in range(5)))
             bodies = [(await read_message(reader, writer)).body for _ in range(5)]
             assert bodies == [b"id-%d" % i for i in range(5)]
-            assert len(rig.hosts[0].seen) == 5
+            assert len(rig.endpoints[0].received) == 5
 
     run_scenario(scenario)
 
@@ -74,9 +78,11 @@
 
     async def scenario() -> None:
         async with RunningProgram(tmp_path, serve) as rig:
-            answers = [await rig.ask(message(plan="small", rid=b"id-%d" % i)) for i in range(6)]
-            refused = [a for a in answers if a.line.split()[1] == "503"]
-            assert refused and len(rig.hosts[0].seen) == len(answers) - len(refused)
+            answers = [
+                await rig.request(request_bytes(plan="small", request_id=b"id-%d" % i)) for i in range(6)
+            ]
+            refused = [a for a in answers if a.start_line.split()[1] == "503"]
+            assert refused and len(rig.endpoints[0].received) == len(answers) - len(refused)
             assert all(0 < float(a.headers["retry-after"]) <= 1 for a in refused)
 
     run_scenario(scenario, 5)  # six that were held to near their deadlines of 6 s would take longer
@@ -85,24 +91,32 @@
 BAD = [
     (b"nonsense\r\n\r\n", 400),
     (b"GET / HTTP/9.9\r\n\r\n", 400),
-    (message(target="/other"), 404),
-    (message(target="/api/xyz"), 400),
-    (message(customer="0000000200000000"), 400),
-    (message(customer="00000001fffffff"), 400),
-    (message("nope"), 400),
-    (message(plan="nope"), 400),
-    (message(deadline="soon"), 400),
-    (message(deadline="-5m"), 400),
-    (message(deadline="1e3m"), 400),
-    (message(method="POST"), 400),
-    (message("put", method="GET"), 400),
-    (message("put", key=False), 400),
-    (message(rid=b"two words"), 400),
-    (message(more="X-Class: read\r\n"), 400),
-    (message(drop="Quota-Info", more="Quota-Info: units=0,spread=1,first=0\r\n"), 400),
-    (message(drop="Quota-Info", more="Quota-Info: units=nan,spread=1,first=0\r\n"), 400),
+    (request_bytes(target="/other"), 404),
+    (request_bytes(target="/api/xyz"), 400),
+    (request_bytes(tenant="0000000200000000"), 400),
+    (request_bytes(tenant="00000001fffffff"), 400),
+    (request_bytes("nope"), 400),
+    (request_bytes(plan="nope"), 400),
+    (request_bytes(deadline="soon"), 400),
+    (request_bytes(deadline="-5m"), 400),
+    (request_bytes(deadline="1e3m"), 400),
+    (request_bytes(method="POST"), 400),
+    (request_bytes("put", method="GET"), 400),
+    (request_bytes("put", has_idempotency_key=False), 400),
+    (request_bytes(request_id=b"two words"), 400),
+    (request_bytes(extra_headers="X-Class: read\r\n"), 400),
+    (
+        request_bytes(without_header="Quota-Info", extra_headers="Quota-Info: units=0,spread=1,first=0\r\n"),
+        400,
+    ),
+    (
+        request_bytes(
+            without_header="Quota-Info", extra_headers="Quota-Info: units=nan,spread=1,first=0\r\n"
+        ),
+        400,
+    ),
     *(
-        (message(drop="Quota-Info", more=f"Quota-Info: {info}\r\n"), 400)
+        (request_bytes(without_header="Quota-Info", extra_headers=f"Quota-Info: {info}\r\n"), 400)
         for info in (
             "units=5,spread=1,first=0",
             "units=-400,spread=1,first=0",
@@ -113,16 +127,19 @@
             "units=1_0",
         )
     ),
-    (message(more="Filler: " + "x" * 40000 + "\r\n"), 400),
-    (message("put", body=b"x" * (64 * 1024 + 1)), 413),
+    (request_bytes(extra_headers="Filler: " + "x" * 40000 + "\r\n"), 400),
+    (request_bytes("put", body=b"x" * (64 * 1024 + 1)), 413),
     (
-        message("put", drop="Content-Length", more="Transfer-Encoding: chunked\r\n")
+        request_bytes("put", without_header="Content-Length", extra_headers="Transfer-Encoding: chunked\r\n")
         + b"11000\r\n"
         + b"x" * 0x11000
         + b"\r\n0\r\n\r\n",
         413,
     ),
-    *((message(drop=name), 400) for name in ("X-Request-Id", "X-Class", "Plan", "X-Deadline", "Quota-Info")),
+    *(
+        (request_bytes(without_header=name), 400)
+        for name in ("X-Request-Id", "X-Class", "Plan", "X-Deadline", "Quota-Info")
+    ),
 ]
 
 
@@ -130,9 +147,11 @@
     async def scenario() -> None:
         async with RunningProgram(tmp_path, serve) as rig:
             for data, status in BAD:
-                assert await rig.status(data) == status, data[:200]
-            assert not rig.hosts[0].seen
-            assert await rig.status(message("put", body=b"x" * 64 * 1024)) == 200  # the largest allowed
+                assert await rig.request_status(data) == status, data[:200]
+            assert not rig.endpoints[0].received
+            assert (
+                await rig.request_status(request_bytes("put", body=b"x" * 64 * 1024)) == 200
+            )  # the largest allowed
             assert rig.process.returncode is None
 
     run_scenario(scenario)
@@ -142,11 +161,11 @@
     async def scenario() -> None:
         async with RunningProgram(tmp_path, silent) as rig:
             reader, writer = await rig.connect()
-            writer.write(message() + b"nonsense\r\n\r\n")
-            await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
-            rig.hosts[0].seen[0].writer.write(reply(b"first"))
+            writer.write(request_bytes() + b"nonsense\r\n\r\n")
+            await rig.endpoints[0].wait_until(lambda fake: len(fake.received) == 1)
+            rig.endpoints[0].received[0].writer.write(response_bytes(b"first"))
             assert (await read_message(reader, writer)).body == b"first"
-            assert (await read_message(reader, writer)).line.split()[1] == "400"
+            assert (await read_message(reader, writer)).start_line.split()[1] == "400"
             assert await reader.read() == b""
 
     run_scenario(scenario)
@@ -155,10 +174,10 @@
 @pytest.mark.parametrize(("cls", "status", "attempts"), [("read", 200, 2), ("put", 200, 2), ("pay", 502, 1)])
 def test_reset_after_the_last_byte_may_have_run(tmp_path: Path, cls: str, status: int, attempts: int) -> None:
     async def scenario() -> None:
-        answers = iter((b"", reply(b"served")))
+        answers = iter((b"", response_bytes(b"served")))
         async with RunningProgram(tmp_path, lambda _: next(answers), lambda _: next(answers)) as rig:
-            assert await rig.status(message(cls)) == status
-            assert sum(len(host.seen) for host in rig.hosts) == attempts
+            assert await rig.request_status(request_bytes(cls)) == status
+            assert sum(len(host.received) for host in rig.endpoints) == attempts
 
     run_scenario(scenario)
 
@@ -166,12 +185,12 @@
 @pytest.mark.parametrize(
     ("answer", "status", "attempts"),
     [
-        (reply(b"", 503, b"X-Not-Run: 1\r\n"), 200, 2),
-        (reply(b"", 504, b"X-Not-Run: 1\r\n"), 200, 2),
-        (reply(b"", 503), 502, 1),
-        (reply(b"", 500), 502, 1),
-        (reply(b"", 500, b"X-Not-Run: 1\r\n"), 502, 1),
-        (reply(b"", 204), 502, 1),
+        (response_bytes(b"", 503, b"X-Not-Run: 1\r\n"), 200, 2),
+        (response_bytes(b"", 504, b"X-Not-Run: 1\r\n"), 200, 2),
+        (response_bytes(b"", 503), 502, 1),
+        (response_bytes(b"", 500), 502, 1),
+        (response_bytes(b"", 500, b"X-Not-Run: 1\r\n"), 502, 1),
+        (response_bytes(b"", 204), 502, 1),
         (b"HTTP/1.1 nonsense\r\n\r\n", 502, 1),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", 502, 1),
     ],
@@ -180,7 +199,7 @@
     tmp_path: Path, answer: bytes, status: int, attempts: int
 ) -> None:
     async def scenario() -> None:
-        answers = iter((answer, reply(b"served")))
+        answers = iter((answer, response_bytes(b"served")))
 
         def behave(seen: ReceivedMessage) -> bytes:
             data = next(answers)
@@ -191,8 +210,8 @@
             return data
 
         async with RunningProgram(tmp_path, behave) as rig:
-            assert await rig.status(message("pay")) == status
-            assert len(rig.hosts[0].seen) == attempts
+            assert await rig.request_status(request_bytes("pay")) == status
+            assert len(rig.endpoints[0].received) == attempts
 
     run_scenario(scenario)
 
@@ -200,10 +219,10 @@
 def test_a_refused_connection_never_ran(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with RunningProgram(tmp_path, serve, serve) as rig:
-            rig.hosts[0].stop()  # its port refuses from now on
+            rig.endpoints[0].stop()  # its port refuses from now on
             for i in range(8):
-                assert await rig.status(message("pay", rid=b"id-%d" % i)) == 200
-            assert len(rig.hosts[1].seen) == 8
+                assert await rig.request_status(request_bytes("pay", request_id=b"id-%d" % i)) == 200
+            assert len(rig.endpoints[1].received) == 8
 
     run_scenario(scenario)
 
@@ -213,10 +232,13 @@
         async with RunningProgram(
             tmp_path, lambda seen: None if seen.headers["x-request-id"] == "quiet" else serve(seen)
         ) as rig:
-            assert await rig.status(message("pay", rid=b"quiet", deadline="400m")) in (502, 504)
-            await rig.hosts[0].until(lambda fake: fake.closed == 1)  # the host is told by the close
-            assert await rig.status(message(rid=b"next")) == 200
-            assert [s.headers["x-request-id"] for s in rig.hosts[0].seen] == ["quiet", "next"]
+            assert await rig.request_status(request_bytes("pay", request_id=b"quiet", deadline="400m")) in (
+                502,
+                504,
+            )
+            await rig.endpoints[0].wait_until(lambda fake: fake.closed == 1)  # the host is told by the close
+            assert await rig.request_status(request_bytes(request_id=b"next")) == 200
+            assert [s.headers["x-request-id"] for s in rig.endpoints[0].received] == ["quiet", "next"]
 
     run_scenario(scenario)
 
@@ -225,11 +247,11 @@
     async def scenario() -> None:
         async with RunningProgram(tmp_path, silent) as rig:
             _, writer = await rig.connect()
-            writer.write(message("put"))
-            await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
+            writer.write(request_bytes("put"))
+            await rig.endpoints[0].wait_until(lambda fake: len(fake.received) == 1)
             writer.close()
-            await rig.hosts[0].until(lambda fake: fake.closed == 1)
-            assert len(rig.hosts[0].seen) == 1
+            await rig.endpoints[0].wait_until(lambda fake: fake.closed == 1)
+            assert len(rig.endpoints[0].received) == 1
 
     run_scenario(scenario, 4)  # before the attempt's own time-out would close it
 
@@ -239,21 +261,23 @@
 
     async def scenario() -> None:
         async with RunningProgram(tmp_path, silent) as rig:
-            loop, client = asyncio.get_running_loop(), socket.create_connection((LOOP, rig.port))
+            loop, client = asyncio.get_running_loop(), socket.create_connection((LOOPBACK, rig.port))
             client.setblocking(False)
             with client:
-                client.sendall(b"".join(message(rid=rid) for rid in (b"first", b"second", b"third")))
-                await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
+                client.sendall(
+                    b"".join(request_bytes(request_id=rid) for rid in (b"first", b"second", b"third"))
+                )
+                await rig.endpoints[0].wait_until(lambda fake: len(fake.received) == 1)
                 client.shutdown(socket.SHUT_WR)  # in the other's kernel from here on, and unread
-                rig.hosts[0].behave = serve
-                rig.hosts[0].seen[0].writer.write(reply(b"served"))
+                rig.endpoints[0].respond = serve
+                rig.endpoints[0].received[0].writer.write(response_bytes(b"served"))
                 try:
                     while await loop.sock_recv(client, 4096):  # until the connection's turns are over
                         pass
                 except ConnectionResetError:
                     pass
-            assert (await rig.ask(message(rid=b"last"))).body == b"served"
-            assert [s.headers["x-request-id"] for s in rig.hosts[0].seen] == ["first", "last"]
+            assert (await rig.request(request_bytes(request_id=b"last"))).body == b"served"
+            assert [s.headers["x-request-id"] for s in rig.endpoints[0].received] == ["first", "last"]
 
     run_scenario(scenario)
 
@@ -263,10 +287,10 @@
         async with RunningProgram(tmp_path, serve) as rig:
             reader, writer = await rig.connect()
             for i in range(5):
-                writer.write(message(rid=b"id-%d" % i))
+                writer.write(request_bytes(request_id=b"id-%d" % i))
                 assert (await read_message(reader, writer)).body == b"served"
                 await asyncio.sleep(5 * REST_S)
-            assert len({id(s.writer) for s in rig.hosts[0].seen}) == 1
+            assert len({id(s.writer) for s in rig.endpoints[0].received}) == 1
 
     run_scenario(scenario)
 
@@ -276,11 +300,11 @@
 
     async def scenario() -> None:
         async with RunningProgram(tmp_path, silent) as rig:
-            asked = asyncio.create_task(rig.status(message("pay")))
-            await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
+            asked = asyncio.create_task(rig.request_status(request_bytes("pay")))
+            await rig.endpoints[0].wait_until(lambda fake: len(fake.received) == 1)
             rig.process.send_signal(signal.SIGSTOP)
-            rig.hosts[0].seen[0].writer.write(reply(b"served"))
-            await rig.hosts[0].seen[0].writer.drain()
+            rig.endpoints[0].received[0].writer.write(response_bytes(b"served"))
+            await rig.endpoints[0].received[0].writer.drain()
             await asyncio.sleep(3.3)  # past the attempt's time-out of 3 s, not past the client's 6 s
             rig.process.send_signal(signal.SIGCONT)
             assert await asked == 200
@@ -291,18 +315,18 @@
 def test_sigterm_accepts_a_little_longer_finishes_and_exits(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with RunningProgram(tmp_path, silent) as rig:
-            first = asyncio.create_task(rig.ask(message(rid=b"first")))
-            await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
+            first = asyncio.create_task(rig.request(request_bytes(request_id=b"first")))
+            await rig.endpoints[0].wait_until(lambda fake: len(fake.received) == 1)
             idle_reader, _ = await rig.connect()
             rig.process.send_signal(signal.SIGTERM)
             while not any("draining" in line for line in rig.log):
                 await asyncio.sleep(0.01)
-            late = asyncio.create_task(rig.ask(message(rid=b"late")))
-            await rig.hosts[0].until(lambda fake: len(fake.seen) == 2)
+            late = asyncio.create_task(rig.request(request_bytes(request_id=b"late")))
+            await rig.endpoints[0].wait_until(lambda fake: len(fake.received) == 2)
             assert await idle_reader.read() == b""  # closed though the others are still served
             assert rig.process.returncode is None
-            for seen in rig.hosts[0].seen:
-                seen.writer.write(reply(b"served"))
+            for seen in rig.endpoints[0].received:
+                seen.writer.write(response_bytes(b"served"))
             for answer in (await first, await late):
                 assert answer.body == b"served"
                 assert answer.headers["connection"] == "close"
@@ -314,8 +338,8 @@
 def test_sigterm_answers_what_cannot_finish_and_exits_before_sigkill(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with RunningProgram(tmp_path, silent) as rig:
-            asked = asyncio.create_task(rig.status(message("put", deadline="60000m")))
-            await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
+            asked = asyncio.create_task(rig.request_status(request_bytes("put", deadline="60000m")))
+            await rig.endpoints[0].wait_until(lambda fake: len(fake.received) == 1)
             rig.process.send_signal(signal.SIGTERM)
             assert await asked == 504  # by the program itself, not by chance while it falls apart
             async with asyncio.timeout(3.7):
@@ -327,14 +351,14 @@
 def test_sigkill_and_restart_on_the_same_port(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with RunningProgram(tmp_path, serve) as rig:
-            assert await rig.status(message()) == 200
+            assert await rig.request_status(request_bytes()) == 200
             reader, _ = await rig.connect()
             rig.process.kill()
             await rig.process.wait()
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await reader.readexactly(1)
             await rig.launch()
-            assert await rig.status(message(rid=b"after")) == 200
+            assert await rig.request_status(request_bytes(request_id=b"after")) == 200
 
     run_scenario(scenario)
 
@@ -345,16 +369,16 @@
     async def scenario() -> None:
         async with RunningProgram(tmp_path, silent, sockets=128) as rig:
             reader, writer = await rig.connect()
-            writer.write(message(rid=b"open"))
-            await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
+            writer.write(request_bytes(request_id=b"open"))
+            await rig.endpoints[0].wait_until(lambda fake: len(fake.received) == 1)
             crowd = []
             for i in range(210):
                 crowd.append(await rig.connect())
                 crowd[-1][1].write((b"", b"GET /api/", b"GET /ready HTTP/1.1\r\n\r\n")[i % 3])
-            asked = asyncio.create_task(rig.ask(message(rid=b"late")))
-            await rig.hosts[0].until(lambda fake: len(fake.seen) == 2)
-            for seen in rig.hosts[0].seen:  # the one that was owed its answer has kept its place
-                seen.writer.write(reply(b"served"))
+            asked = asyncio.create_task(rig.request(request_bytes(request_id=b"late")))
+            await rig.endpoints[0].wait_until(lambda fake: len(fake.received) == 2)
+            for seen in rig.endpoints[0].received:  # the one that was owed its answer has kept its place
+                seen.writer.write(response_bytes(b"served"))
             assert (await asked).body == b"served"
             assert (await read_message(reader, writer)).body == b"served"
             assert rig.process.returncode is None
@@ -373,7 +397,7 @@
                 crowd.append(await rig.connect())
                 crowd[-1][1].write(b"GET /ready HTTP/1.1\r\n\r\n")
                 await read_message(*crowd[-1])
-            writer.write(message())
+            writer.write(request_bytes())
             assert (await read_message(reader, writer)).body == b"served"
 
     run_scenario(scenario, 10)
@@ -384,7 +408,7 @@
     [
         (b"", None),
         (b"GET /api/0 HTTP/1.1\r\nX-Pad: ", b"408"),
-        (message("put", body=b"x" * 9)[:-1], b"408"),
+        (request_bytes("put", body=b"x" * 9)[:-1], b"408"),
         (b"GET /ready HTTP/1.1\r\n\r\nGET ", b"408"),
     ],
 )
@@ -398,7 +422,7 @@
             async with asyncio.timeout(3):  # an error or a close is owed by then
                 answer = await reader.read()
             assert answer == b"" if status is None else b"HTTP/1.1 " + status in answer
-            assert not rig.hosts[0].seen
+            assert not rig.endpoints[0].received
 
     run_scenario(scenario)
 
@@ -408,19 +432,19 @@
 
     async def scenario() -> None:
         async with RunningProgram(tmp_path, silent) as rig:
-            asked = asyncio.create_task(rig.ask(message("put")))
-            await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
-            assert await rig.status(message("put", customer="0000000000000001")) == 409
-            rig.hosts[0].seen[0].writer.write(reply(b"served"))
+            asked = asyncio.create_task(rig.request(request_bytes("put")))
+            await rig.endpoints[0].wait_until(lambda fake: len(fake.received) == 1)
+            assert await rig.request_status(request_bytes("put", tenant="0000000000000001")) == 409
+            rig.endpoints[0].received[0].writer.write(response_bytes(b"served"))
             assert (await asked).body == b"served"
-            assert len(rig.hosts[0].seen) == 1
-            rig.hosts[0].behave = serve
-            assert await rig.status(message("put")) == 200  # it is no longer in use
+            assert len(rig.endpoints[0].received) == 1
+            rig.endpoints[0].respond = serve
+            assert await rig.request_status(request_bytes("put")) == 200  # it is no longer in use
 
     run_scenario(scenario)
 
 
-HIDDEN = b"0\r\n\r\n" + message(rid=b"hidden")
+HIDDEN = b"0\r\n\r\n" + request_bytes(request_id=b"hidden")
 
 
 @pytest.mark.parametrize(
@@ -442,9 +466,12 @@
         async with RunningProgram(tmp_path, serve) as rig:
             reader, writer = await rig.connect()
             more = lines.replace("%d", str(len(HIDDEN)))
-            writer.write(message("put", method="POST", drop="Content-Length", more=more) + HIDDEN)
+            writer.write(
+                request_bytes("put", method="POST", without_header="Content-Length", extra_headers=more)
+                + HIDDEN
+            )
             assert b"HTTP/1.1 400" in (await reader.read())
-            assert b"hidden" not in [s.headers["x-request-id"].encode() for s in rig.hosts[0].seen]
+            assert b"hidden" not in [s.headers["x-request-id"].encode() for s in rig.endpoints[0].received]
 
     run_scenario(scenario)
 
@@ -455,11 +482,11 @@
     async def scenario() -> None:
         async with RunningProgram(tmp_path, serve) as rig:
             reader, writer = await rig.connect()
-            writer.write(message("nope") + message())
+            writer.write(request_bytes("nope") + request_bytes())
             answer = await read_message(reader, writer)
-            assert (answer.line.split()[1], answer.headers["connection"]) == ("400", "close")
+            assert (answer.start_line.split()[1], answer.headers["connection"]) == ("400", "close")
             assert await reader.read() == b""
-            assert not rig.hosts[0].seen
+            assert not rig.endpoints[0].received
 
     run_scenario(scenario)
 
@@ -468,10 +495,10 @@
     async def scenario() -> None:
         async with RunningProgram(tmp_path, serve) as rig:
             reader, writer = await rig.connect()
-            writer.write(b"".join(message(rid=b"id-%d" % i) for i in range(300)))
+            writer.write(b"".join(request_bytes(request_id=b"id-%d" % i) for i in range(300)))
             answers = await reader.read()
             assert answers.endswith(b"Connection: close\r\n\r\n") and b"HTTP/1.1 400" in answers
-            assert len(rig.hosts[0].seen) == answers.count(b"HTTP/1.1 200") < 20
+            assert len(rig.endpoints[0].received) == answers.count(b"HTTP/1.1 200") < 20
 
     run_scenario(scenario)
 
@@ -479,8 +506,9 @@
 @pytest.mark.parametrize(
     "head",
     [
-        message("put", drop="Content-Length", more="Content-Length: 60000000\r\n"),
-        message("put", drop="Content-Length", more="Transfer-Encoding: chunked\r\n") + b"3938700\r\n",
+        request_bytes("put", without_header="Content-Length", extra_headers="Content-Length: 60000000\r\n"),
+        request_bytes("put", without_header="Content-Length", extra_headers="Transfer-Encoding: chunked\r\n")
+        + b"3938700\r\n",
     ],
 )
 def test_a_huge_body_is_turned_away_unread(tmp_path: Path, head: bytes) -> None:
@@ -490,12 +518,12 @@
         async with RunningProgram(tmp_path, serve) as rig:
             reader, writer = await rig.connect()
             writer.write(head + b"x" * 100_000)
-            assert (await read_message(reader, writer)).line.split()[1] == "413"
+            assert (await read_message(reader, writer)).start_line.split()[1] == "413"
             with pytest.raises(ConnectionError):
                 for _ in range(60):
                     writer.write(b"x" * 1_000_000)
                     await writer.drain()
-            assert await rig.status(message()) == 200
+            assert await rig.request_status(request_bytes()) == 200
 
     run_scenario(scenario)
 
@@ -503,40 +531,50 @@
 def test_a_draining_host_gets_nothing_new_and_a_whole_list_replaces(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with RunningProgram(tmp_path, serve, serve) as rig:
-            await rig.directory.tell([instance("s-0", rig.hosts[0].port, "draining")])
+            await rig.discovery.publish([instance("s-0", rig.endpoints[0].port, "draining")])
             for i in range(6):
-                assert await rig.status(message(rid=b"id-%d" % i)) == 200
-            assert len(rig.hosts[0].seen) == 0
-            await rig.directory.tell([instance("s-0", rig.hosts[0].port)], whole=True)  # s-1 is not in it
-            await rig.hosts[1].until(lambda fake: fake.closed > 0)  # its kept connection goes
+                assert await rig.request_status(request_bytes(request_id=b"id-%d" % i)) == 200
+            assert len(rig.endpoints[0].received) == 0
+            await rig.discovery.publish(
+                [instance("s-0", rig.endpoints[0].port)], is_full=True
+            )  # s-1 is not in it
+            await rig.endpoints[1].wait_until(lambda fake: fake.closed > 0)  # its kept connection goes
             for i in range(6):
-                assert await rig.status(message(rid=b"more-%d" % i)) == 200
-            assert (len(rig.hosts[0].seen), len(rig.hosts[1].seen)) == (6, 6)
+                assert await rig.request_status(request_bytes(request_id=b"more-%d" % i)) == 200
+            assert (len(rig.endpoints[0].received), len(rig.endpoints[1].received)) == (6, 6)
 
     run_scenario(scenario, 10)  # before an idle connection would be retired
 
 
 def test_a_drain_that_a_silent_watch_misses_is_found_out_in_time(tmp_path: Path) -> None:
     async def scenario() -> None:
-        leaving, staying = (lambda seen: reply(b"leaving")), (lambda seen: reply(b"staying"))
+        leaving, staying = (
+            (lambda seen: response_bytes(b"leaving")),
+            (lambda seen: response_bytes(b"staying")),
+        )
         async with RunningProgram(tmp_path, leaving, staying) as rig:
-            directory, fake = rig.directory, rig.directory.fake
-            await fake.until(lambda f: bool(directory.waiting))
-            silent = directory.waiting[-1].writer  # stays open, and says nothing any more
+            directory, fake = rig.discovery, rig.discovery.server
+            await fake.wait_until(lambda f: bool(directory.pending_polls))
+            silent = directory.pending_polls[-1].writer  # stays open, and says nothing any more
             fell = asyncio.get_running_loop().time()
-            leaves = [instance("s-0", rig.hosts[0].port, "draining"), instance("s-1", rig.hosts[1].port)]
+            leaves = [
+                instance("s-0", rig.endpoints[0].port, "draining"),
+                instance("s-1", rig.endpoints[1].port),
+            ]
             directory.generation += 1
 
             def behave(
                 seen: ReceivedMessage,
             ) -> bytes | None:  # the news waits for whoever comes on a new connection
-                return None if seen.writer is silent else directory.listing(leaves, True)
+                return None if seen.writer is silent else directory.list_response(leaves, True)
 
-            fake.behave = behave
-            count = len(fake.seen)
-            await fake.until(lambda f: len(f.seen) > count + 1)  # answered, and asked on: the list is known
+            fake.respond = behave
+            count = len(fake.received)
+            await fake.wait_until(
+                lambda f: len(f.received) > count + 1
+            )  # answered, and asked on: the list is known
             assert asyncio.get_running_loop().time() - fell < 6.0
-            bodies = {(await rig.ask(message(rid=b"after%02d" % i))).body for i in range(8)}
+            bodies = {(await rig.request(request_bytes(request_id=b"after%02d" % i))).body for i in range(8)}
             assert bodies == {b"staying"}
 
     run_scenario(scenario)
@@ -546,32 +584,37 @@
     """A restarted gateway: its configuration still calls ready what the agent knows to be leaving."""
 
     async def scenario() -> None:
-        leaving, staying = (lambda seen: reply(b"leaving")), (lambda seen: reply(b"staying"))
+        leaving, staying = (
+            (lambda seen: response_bytes(b"leaving")),
+            (lambda seen: response_bytes(b"staying")),
+        )
         async with RunningProgram(tmp_path, leaving, staying) as rig:
-            directory, ports = rig.directory, [host.port for host in rig.hosts]
+            directory, ports = rig.discovery, [host.port for host in rig.endpoints]
             rig.process.kill()
             await rig.process.wait()
-            asked = len(directory.fake.seen)
-            directory.fake.behave = lambda seen: None  # the new process asks, and is answered when we say so
-            rig.known = {
+            asked = len(directory.server.received)
+            directory.server.respond = lambda seen: (
+                None
+            )  # the new process asks, and is answered when we say so
+            rig.cached_list = {
                 "generation": 1,
                 "reset": True,
                 "instances": [instance("s-0", ports[0]), instance("s-1", ports[1])],
             }
             starting = asyncio.create_task(rig.launch())
-            await directory.fake.until(lambda fake: len(fake.seen) > asked)
+            await directory.server.wait_until(lambda fake: len(fake.received) > asked)
             with pytest.raises(ConnectionRefusedError):
                 await rig.connect()
-            directory.fake.behave = lambda seen: (
+            directory.server.respond = lambda seen: (
                 None
-                if "wait_ms=2000" in seen.line
-                else directory.listing(
+                if "wait_ms=2000" in seen.start_line
+                else directory.list_response(
                     [instance("s-0", ports[0], "draining"), instance("s-1", ports[1])], True
                 )
             )
-            directory.fake.seen[-1].writer.transport.abort()  # come again
+            directory.server.received[-1].writer.transport.abort()  # come again
             await starting
-            bodies = {(await rig.ask(message(rid=b"id-%d" % i))).body for i in range(8)}
+            bodies = {(await rig.request(request_bytes(request_id=b"id-%d" % i))).body for i in range(8)}
             assert bodies == {b"staying"}
 
     run_scenario(scenario)
@@ -580,11 +623,11 @@
 def test_a_host_may_move_to_another_address(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with RunningProgram(tmp_path, serve, serve) as rig:
-            await rig.directory.tell([instance("s-1", rig.hosts[1].port, "gone")])
-            assert await rig.status(message(rid=b"before")) == 200
-            await rig.directory.tell([instance("s-0", rig.hosts[1].port)])
-            assert await rig.status(message(rid=b"moved")) == 200
-            assert [s.headers["x-request-id"] for s in rig.hosts[1].seen] == ["moved"]
+            await rig.discovery.publish([instance("s-1", rig.endpoints[1].port, "gone")])
+            assert await rig.request_status(request_bytes(request_id=b"before")) == 200
+            await rig.discovery.publish([instance("s-0", rig.endpoints[1].port)])
+            assert await rig.request_status(request_bytes(request_id=b"moved")) == 200
+            assert [s.headers["x-request-id"] for s in rig.endpoints[1].received] == ["moved"]
 
     run_scenario(scenario)
 
@@ -592,22 +635,22 @@
 @pytest.mark.parametrize(
     "nonsense",
     [
-        reply(b"{"),
-        reply(b'{"generation":9,"reset":true,"instances":[{}]}'),
-        reply(b"", 500),
+        response_bytes(b"{"),
+        response_bytes(b'{"generation":9,"reset":true,"instances":[{}]}'),
+        response_bytes(b"", 500),
         b"nonsense\r\n\r\n",
     ],
 )
 def test_discoverys_nonsense_keeps_the_list(tmp_path: Path, nonsense: bytes) -> None:
     async def scenario() -> None:
         async with RunningProgram(tmp_path, serve) as rig:
-            await rig.directory.answer_watch(lambda: nonsense)  # returns once it has asked again
-            assert await rig.status(message()) == 200
+            await rig.discovery.answer_poll(lambda: nonsense)  # returns once it has asked again
+            assert await rig.request_status(request_bytes()) == 200
 
     run_scenario(scenario, 12)  # before the watch's own time-out would begin a new one
 
 
-@pytest.mark.parametrize("answer", [reply(b"many"), b"\0noise\r\n\r\n"])
+@pytest.mark.parametrize("answer", [response_bytes(b"many"), b"\0noise\r\n\r\n"])
 def test_a_spoilt_counter_answer_is_logged_and_changes_nothing(tmp_path: Path, answer: bytes) -> None:
     async def scenario() -> None:
         async with RunningProgram(tmp_path, serve) as rig:
@@ -617,11 +660,11 @@
                 spoilt.append(seen)
                 return answer
 
-            rig.counter.behave = behave
-            assert (await rig.ask(message(rid=b"first", plan="quick"))).body == b"served"
-            await rig.counter.until(lambda fake: bool(spoilt))
-            rig.counter.behave = lambda seen: counter_response(seen, rig.totals)
-            assert (await rig.ask(message(rid=b"second", plan="quick"))).body == b"served"
+            rig.counter.respond = behave
+            assert (await rig.request(request_bytes(request_id=b"first", plan="quick"))).body == b"served"
+            await rig.counter.wait_until(lambda fake: bool(spoilt))
+            rig.counter.respond = lambda seen: counter_response(seen, rig.totals)
+            assert (await rig.request(request_bytes(request_id=b"second", plan="quick"))).body == b"served"
             while len([line for line in rig.log if "counter: an answer that cannot" in line]) < len(spoilt):
                 await asyncio.sleep(0.01)
             assert len([line for line in rig.log if "WARNING" in line]) == len(spoilt)  # a line for each
@@ -632,13 +675,17 @@
 def test_a_counter_that_breaks_does_not_stop_service(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with RunningProgram(tmp_path, serve) as rig:
-            for i, behave in enumerate((silent, reset, lambda _: reply(b"", 503), lambda _: reply(b"x"))):
-                rig.counter.behave = behave
+            for i, behave in enumerate(
+                (silent, reset, lambda _: response_bytes(b"", 503), lambda _: response_bytes(b"x"))
+            ):
+                rig.counter.respond = behave
                 for j in range(3):  # a customer not seen before makes the module ask
-                    data = message(rid=b"%d-%d" % (i, j), customer=f"{1 + 3 * i + j:016x}")
-                    assert await rig.status(data) == 200
+                    data = request_bytes(request_id=b"%d-%d" % (i, j), tenant=f"{1 + 3 * i + j:016x}")
+                    assert await rig.request_status(data) == 200
             rig.counter.stop()
-            assert await rig.status(message(rid=b"last", customer="0000000000000099")) == 200
+            assert (
+                await rig.request_status(request_bytes(request_id=b"last", tenant="0000000000000099")) == 200
+            )
 
     run_scenario(scenario)
 
@@ -648,14 +695,14 @@
 
     async def scenario() -> None:
         def behave(seen: ReceivedMessage) -> bytes:
-            return b"" if len(rig.counter.seen) % 3 == 0 else counter_response(seen, rig.totals)
+            return b"" if len(rig.counter.received) % 3 == 0 else counter_response(seen, rig.totals)
 
         async with RunningProgram(tmp_path, serve) as rig:
-            rig.counter.behave = behave
+            rig.counter.respond = behave
             for i in range(40):
-                data = message(rid=b"id-%d" % i, customer=f"{i + 1:016x}")
-                assert await rig.status(data) == 200
-            asked = {seen.line.split("?")[0].partition(".")[0] for seen in rig.counter.seen}
+                data = request_bytes(request_id=b"id-%d" % i, tenant=f"{i + 1:016x}")
+                assert await rig.request_status(data) == 200
+            asked = {seen.start_line.split("?")[0].partition(".")[0] for seen in rig.counter.received}
             assert len(asked) == 40
             assert not any("failed" in line for line in rig.log)
 
@@ -711,23 +758,25 @@
         async with RunningProgram(
             tmp_path, lambda seen: answer if seen.headers["x-request-id"] == "bad" else serve(seen)
         ) as rig:
-            assert await rig.status(message("pay", rid=b"bad")) == 502  # unsafe: not sent again
-            await rig.hosts[0].until(lambda fake: fake.closed == 1)
+            assert (
+                await rig.request_status(request_bytes("pay", request_id=b"bad")) == 502
+            )  # unsafe: not sent again
+            await rig.endpoints[0].wait_until(lambda fake: fake.closed == 1)
             for i in range(3):  # a host that was thought to have died would be left to rest
-                assert await rig.status(message("pay", rid=b"id-%d" % i)) == 200
+                assert await rig.request_status(request_bytes("pay", request_id=b"id-%d" % i)) == 200
             assert rig.process.returncode is None
 
     run_scenario(scenario, 5)
 
 
 @pytest.mark.parametrize("late", [False, True])
-@pytest.mark.parametrize("more", [reply(b"copy"), b"noise\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-"])
+@pytest.mark.parametrize("more", [response_bytes(b"copy"), b"noise\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-"])
 def test_what_follows_a_good_answer_is_nobodys_answer(tmp_path: Path, more: bytes, late: bool) -> None:
     """A second copy, right behind the answer or a packet later, must not become the next request's answer."""
 
     async def scenario() -> None:
         def behave(seen: ReceivedMessage) -> bytes:
-            answer = reply(seen.headers["x-request-id"].encode())
+            answer = response_bytes(seen.headers["x-request-id"].encode())
             if not late:
                 return answer + more
             seen.writer.write(answer)
@@ -737,9 +786,9 @@
         async with RunningProgram(tmp_path, behave) as rig:
             reader, writer = await rig.connect()
             for i in range(10):
-                writer.write(message("pay", rid=b"id-%d" % i))
+                writer.write(request_bytes("pay", request_id=b"id-%d" % i))
                 assert (await read_message(reader, writer)).body == b"id-%d" % i
-            assert len({id(s.writer) for s in rig.hosts[0].seen}) == 10
+            assert len({id(s.writer) for s in rig.endpoints[0].received}) == 10
 
     run_scenario(scenario)
 
@@ -748,7 +797,7 @@
     async def scenario() -> None:
         early = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n"
         async with RunningProgram(tmp_path, lambda seen: early + serve(seen)) as rig:
-            assert (await rig.ask(message())).body == b"served"
+            assert (await rig.request(request_bytes())).body == b"served"
 
     run_scenario(scenario)
 
@@ -759,11 +808,11 @@
 
     async def scenario() -> None:
         async with RunningProgram(
-            tmp_path, lambda seen: reply(b"ok", headers=b"Billed-Units: %b\r\n" % figure)
+            tmp_path, lambda seen: response_bytes(b"ok", headers=b"Billed-Units: %b\r\n" % figure)
         ) as rig:
             for i in range(30):
-                assert await rig.status(message(rid=b"id-%d" % i)) == 200
-            await rig.counter.until(lambda fake: sum(rig.totals.values()) > 0)
+                assert await rig.request_status(request_bytes(request_id=b"id-%d" % i)) == 200
+            await rig.counter.wait_until(lambda fake: sum(rig.totals.values()) > 0)
             assert sum(rig.totals.values()) <= 60
 
     run_scenario(scenario)
@@ -774,22 +823,26 @@
 
     async def scenario() -> None:
         async with RunningProgram(tmp_path, silent, serve) as rig:
-            await rig.directory.tell([instance("s-1", rig.hosts[1].port, "gone")])
-            asked = asyncio.create_task(rig.ask(message(rid=b"old")))
-            await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
-            old_directory, old_counter = rig.directory, rig.counter
+            await rig.discovery.publish([instance("s-1", rig.endpoints[1].port, "gone")])
+            asked = asyncio.create_task(rig.request(request_bytes(request_id=b"old")))
+            await rig.endpoints[0].wait_until(lambda fake: len(fake.received) == 1)
+            old_directory, old_counter = rig.discovery, rig.counter
             for _ in range(2):
-                await rig.reload([instance("s-1", rig.hosts[1].port)])
-                await rig.directory.fake.until(lambda fake: any("after=" in s.line for s in fake.seen))
-            await old_directory.fake.until(lambda fake: fake.closed > 0)
-            assert "after=" not in rig.directory.fake.seen[0].line  # the whole list first
-            assert await rig.status(message(rid=b"new", customer="0000000000000007")) == 200
-            assert [s.headers["x-request-id"] for s in rig.hosts[1].seen] == ["new"]
-            rig.hosts[0].seen[0].writer.write(reply(b"served"))
+                await rig.reload([instance("s-1", rig.endpoints[1].port)])
+                await rig.discovery.server.wait_until(
+                    lambda fake: any("after=" in s.start_line for s in fake.received)
+                )
+            await old_directory.server.wait_until(lambda fake: fake.closed > 0)
+            assert "after=" not in rig.discovery.server.received[0].start_line  # the whole list first
+            assert (
+                await rig.request_status(request_bytes(request_id=b"new", tenant="0000000000000007")) == 200
+            )
+            assert [s.headers["x-request-id"] for s in rig.endpoints[1].received] == ["new"]
+            rig.endpoints[0].received[0].writer.write(response_bytes(b"served"))
             assert (await asked).body == b"served"
-            await rig.counter.until(lambda fake: len(fake.seen) > 0)
+            await rig.counter.wait_until(lambda fake: len(fake.received) > 0)
             assert old_counter is not rig.counter
-            await old_counter.until(lambda fake: fake.closed > 0)
+            await old_counter.wait_until(lambda fake: fake.closed > 0)
 
     run_scenario(scenario)
 
@@ -806,8 +859,8 @@
                 rig.process.send_signal(signal.SIGHUP)
                 while sum("configuration is kept" in line for line in rig.log) < count:
                     await asyncio.sleep(0.01)
-            assert await rig.status(message()) == 200
-            assert rig.directory.fake.closed == 0
+            assert await rig.request_status(request_bytes()) == 200
+            assert rig.discovery.server.closed == 0
 
     run_scenario(scenario)
 
@@ -815,12 +868,12 @@
 def test_sighup_during_the_drain_does_not_end_it_otherwise(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with RunningProgram(tmp_path, silent) as rig:
-            asked = asyncio.create_task(rig.ask(message()))
-            await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
+            asked = asyncio.create_task(rig.request(request_bytes()))
+            await rig.endpoints[0].wait_until(lambda fake: len(fake.received) == 1)
             rig.process.send_signal(signal.SIGTERM)
-            await rig.reload([instance("s-0", rig.hosts[0].port)])
-            await rig.directory.fake.until(lambda fake: len(fake.seen) > 0)
-            rig.hosts[0].seen[0].writer.write(reply(b"served"))
+            await rig.reload([instance("s-0", rig.endpoints[0].port)])
+            await rig.discovery.server.wait_until(lambda fake: len(fake.received) > 0)
+            rig.endpoints[0].received[0].writer.write(response_bytes(b"served"))
             assert (await asked).body == b"served"
             rig.process.send_signal(signal.SIGHUP)
             assert await rig.process.wait() == 0
@@ -844,9 +897,9 @@
         kept: list[asyncio.StreamWriter] = []
         async with RunningProgram(tmp_path, behave) as rig:
             for i in range(10):
-                assert await rig.status(message(rid=b"id-%d" % i)) == 200
+                assert await rig.request_status(request_bytes(request_id=b"id-%d" % i)) == 200
                 await asyncio.sleep(5 * REST_S)
             assert not any("fails" in line for line in rig.log)
-            assert len(rig.hosts[0].seen) == 19  # each but the first found its connection dead once
+            assert len(rig.endpoints[0].received) == 19  # each but the first found its connection dead once
 
     run_scenario(scenario)
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -11,12 +11,12 @@
 import pytest
 from support.http_fakes import (
     CLASS_SETTINGS,
-    LOOP,
+    LOOPBACK,
     PLAN_SETTINGS,
     FakeServer,
     ReceivedMessage,
     instance,
-    reply,
+    response_bytes,
 )
 from support.program import run_scenario
 
@@ -109,8 +109,8 @@
     await host.start()
     config = parse(
         {
-            "listen": f"{LOOP}:0",
-            "discovery": f"{LOOP}:{host.port}",
+            "listen": f"{LOOPBACK}:0",
+            "discovery": f"{LOOPBACK}:{host.port}",
             "seed": "1",
             "known": {"generation": 1, "reset": True, "instances": [instance("s-0", host.port)]},
             "settings": {"grades": CLASS_SETTINGS, "packages": PLAN_SETTINGS, "bounds": {"try_limit": 2}},
@@ -132,12 +132,12 @@
         assert await client.got.get() == 504
         assert time.monotonic() - started < 0.3
         assert script.events[-1] == ClientDisconnected("r1")
-        assert len(host.seen) == 1
+        assert len(host.received) == 1
         script.plan[TimerFired] = [StartAttempt("r1", "s-0", 100), RejectRequest("r1"), FailRequest("r1")]
         dispatcher._post(TimerFired("late"))
         assert script.outcomes() == [AttemptResult.NOT_STARTED]
         await asyncio.sleep(0.05)
-        assert client.got.empty() and len(host.seen) == 1
+        assert client.got.empty() and len(host.received) == 1
         host.stop()
 
     run_scenario(scenario)
@@ -145,7 +145,7 @@
 
 def test_a_module_that_raises_loses_one_request_only(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        host = FakeServer(lambda seen: reply(b"served"))
+        host = FakeServer(lambda seen: response_bytes(b"served"))
         dispatcher, script = await core_with(monkeypatch, host)
         broken, served = Answers(), Answers()
         script.plan[RequestReceived] = RuntimeError("broken")
@@ -171,10 +171,10 @@
         ]  # the third is beyond the limit of two
         dispatcher.submit(client, an_order())
         assert script.outcomes() == [AttemptResult.CONNECT_FAILED, AttemptResult.NOT_STARTED]
-        await host.until(lambda fake: bool(fake.seen))
+        await host.wait_until(lambda fake: bool(fake.received))
         script.plan[TimerFired] = [CancelAttempt("r1", 0), CancelAttempt("r1", 0), FailRequest("r1")]
         dispatcher._post(TimerFired("cancel"))
-        await host.until(lambda fake: fake.closed == 1)
+        await host.wait_until(lambda fake: fake.closed == 1)
         assert script.outcomes() == [
             AttemptResult.CONNECT_FAILED,
             AttemptResult.NOT_STARTED,
@@ -206,7 +206,7 @@
     """Nothing may be written to it: the attempt would hang until its time-out."""
 
     async def scenario() -> None:
-        host = FakeServer(lambda seen: reply(b"served"))
+        host = FakeServer(lambda seen: response_bytes(b"served"))
         dispatcher, script = await core_with(monkeypatch, host)
         dispatcher._hosts._loop = Breaking(dispatcher._loop)
         client = Answers()
@@ -273,19 +273,19 @@
     """The connection is up and its end not told yet when the list comes: the worst order there is."""
 
     async def scenario() -> None:
-        host = FakeServer(lambda seen: reply(b"served"))
+        host = FakeServer(lambda seen: response_bytes(b"served"))
         dispatcher, script, held, client = await dialling(monkeypatch, host)
         monkeypatch.setattr(
             dispatcher._hosts, "recall", lambda: None
         )  # only the check at the moment of writing
         await held.begun.wait()
-        await host.until(lambda fake: fake.opened == 1)
+        await host.wait_until(lambda fake: fake.opened == 1)
         held.let_up.set()
         dispatcher._listed(the_list(host, lifecycle))
         assert await client.got.get() == 503
         assert script.outcomes() == [AttemptResult.WITHDRAWN]
-        await host.until(lambda fake: fake.closed == 1)
-        assert not [s for s in host.seen if "/api/" in s.line]
+        await host.wait_until(lambda fake: fake.closed == 1)
+        assert not [s for s in host.received if "/api/" in s.start_line]
         host.stop()
 
     run_scenario(scenario, 3)
@@ -296,7 +296,7 @@
     monkeypatch: pytest.MonkeyPatch, lifecycle: str
 ) -> None:
     async def scenario() -> None:
-        host = FakeServer(lambda seen: reply(b"served"))
+        host = FakeServer(lambda seen: response_bytes(b"served"))
         dispatcher, script, held, client = await dialling(monkeypatch, host)
         await held.begun.wait()
         dispatcher._listed(the_list(host, lifecycle))
@@ -312,7 +312,7 @@
 
 def test_nothing_is_written_to_a_draining_host_whoever_asks_for_it(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        host = FakeServer(lambda seen: reply(b"served"))
+        host = FakeServer(lambda seen: response_bytes(b"served"))
         dispatcher, script = await core_with(monkeypatch, host)
         dispatcher._listed(the_list(host, "draining"))
         client = Answers()
@@ -333,19 +333,19 @@
     """Also where the settings allow no cancelling, and where the client's end is still unread."""
 
     async def scenario() -> None:
-        host = FakeServer(lambda seen: reply(b"served"))
+        host = FakeServer(lambda seen: response_bytes(b"served"))
         dispatcher, script = await core_with(monkeypatch, host)
         dispatcher._hosts._loop = held = Held(dispatcher._loop)
         client = Answers()
         script.plan[RequestReceived] = [StartAttempt("r1", "s-0", 5000)]
         rid = dispatcher.submit(client, an_order())
-        await host.until(lambda fake: fake.opened == 1)
+        await host.wait_until(lambda fake: fake.opened == 1)
         client.has_left = True
         if told:
             dispatcher.client_disconnected(rid)
         held.let_up.set()
-        await host.until(lambda fake: fake.closed == 1)
-        assert not host.seen and client.got.empty()
+        await host.wait_until(lambda fake: fake.closed == 1)
+        assert not host.received and client.got.empty()
         assert script.outcomes() == [AttemptResult.WITHDRAWN] and script.events[-1].is_final
         assert (
             ClientDisconnected(rid) in script.events and not dispatcher._requests and not dispatcher._wire_ids
@@ -357,7 +357,7 @@
 
 def test_what_the_module_sends_on_late_is_not_sent_for_who_has_left(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        host = FakeServer(lambda seen: reply(b"served"))
+        host = FakeServer(lambda seen: response_bytes(b"served"))
         dispatcher, script = await core_with(monkeypatch, host)
         client = Answers()
         rid = dispatcher.submit(client, an_order())
@@ -384,8 +384,8 @@
         script.plan[RequestReceived] = [StartAttempt("r1", "s-0", 3000)]
         client = Answers()
         dispatcher.submit(client, an_order())
-        await host.until(lambda fake: any("/api/" in s.line for s in fake.seen))
-        os.write(host.seen[-1].writer.get_extra_info("socket").fileno(), reply(b"served"))
+        await host.wait_until(lambda fake: any("/api/" in s.start_line for s in fake.received))
+        os.write(host.received[-1].writer.get_extra_info("socket").fileno(), response_bytes(b"served"))
         time.sleep(0.6)  # the answer lies unread meanwhile
         assert await client.got.get() == 200
         (outcome,) = [e for e in script.events if isinstance(e, AttemptEnded)]
@@ -401,7 +401,7 @@
     monkeypatch.setattr(counter_module, "CONNECTIONS", 1)
     await fake.start()
     got: asyncio.Queue[CounterReply] = asyncio.Queue()
-    counter = CounterClient(asyncio.get_running_loop(), (LOOP, fake.port), wait_ms, got.put_nowait)
+    counter = CounterClient(asyncio.get_running_loop(), (LOOPBACK, fake.port), wait_ms, got.put_nowait)
     return counter, got
 
 
@@ -412,9 +412,9 @@
         counter.call(IncrementCounter("a", 1, 1000))
         assert (await got.get()).result == CounterResult.TIMED_OUT
         counter.call(IncrementCounter("b", -2.5, 4000.4))
-        await fake.until(lambda fake: len(fake.seen) == 2)
-        assert fake.seen[1].line == "POST /v1/count/b?add=-2.5&ttl_ms=4000 HTTP/1.1"
-        fake.seen[0].writer.write(reply(b"7") + reply(b"9"))
+        await fake.wait_until(lambda fake: len(fake.received) == 2)
+        assert fake.received[1].start_line == "POST /v1/count/b?add=-2.5&ttl_ms=4000 HTTP/1.1"
+        fake.received[0].writer.write(response_bytes(b"7") + response_bytes(b"9"))
         answer = await got.get()
         assert (answer.name, answer.result, answer.total) == ("b", CounterResult.OK, 9)
         assert got.empty()
@@ -431,10 +431,10 @@
             lambda seen: b"",
             CounterResult.CONNECTION_LOST,
         ),  # broken after the call was written: it may have been added
-        (lambda seen: reply(b"", 503), CounterResult.OVERLOADED),
-        (lambda seen: reply(b"many"), CounterResult.MALFORMED_RESPONSE),
-        (lambda seen: reply(b"nan"), CounterResult.MALFORMED_RESPONSE),
-        (lambda seen: reply(b"1_0"), CounterResult.MALFORMED_RESPONSE),
+        (lambda seen: response_bytes(b"", 503), CounterResult.OVERLOADED),
+        (lambda seen: response_bytes(b"many"), CounterResult.MALFORMED_RESPONSE),
+        (lambda seen: response_bytes(b"nan"), CounterResult.MALFORMED_RESPONSE),
+        (lambda seen: response_bytes(b"1_0"), CounterResult.MALFORMED_RESPONSE),
         (lambda seen: b"HTTP/1.1 2x0 OK\r\n\r\n", CounterResult.MALFORMED_RESPONSE),
     ],
 )
@@ -459,9 +459,9 @@
         await fake.start()
         config = parse(
             {
-                "listen": f"{LOOP}:0",
-                "discovery": f"{LOOP}:{fake.port}",
-                "counter": f"{LOOP}:{fake.port}",
+                "listen": f"{LOOPBACK}:0",
+                "discovery": f"{LOOPBACK}:{fake.port}",
+                "counter": f"{LOOPBACK}:{fake.port}",
                 "seed": "1",
                 "settings": {
                     "grades": CLASS_SETTINGS,
@@ -475,9 +475,9 @@
             asyncio.get_running_loop(), config.counter, config.settings.counter_timeout_ms, got.put_nowait
         )
         counter.call(IncrementCounter("a", 1, 1000))
-        await fake.until(lambda fake: len(fake.seen) == 1)
+        await fake.wait_until(lambda fake: len(fake.received) == 1)
         await asyncio.sleep(0.4)
-        fake.seen[0].writer.write(reply(b"7"))
+        fake.received[0].writer.write(response_bytes(b"7"))
         answer = await got.get()
         assert (answer.result, answer.total) == (CounterResult.OK, 7)
         counter.stop()
@@ -494,11 +494,11 @@
         counter, got = await counter_with(monkeypatch, fake, 30)
         counter.call(IncrementCounter("a", 1, 1000))
         assert (await got.get()).result == CounterResult.TIMED_OUT
-        await fake.until(lambda fake: fake.closed == 1)
-        fake.behave = lambda seen: reply(b"1")
+        await fake.wait_until(lambda fake: fake.closed == 1)
+        fake.respond = lambda seen: response_bytes(b"1")
         counter.call(IncrementCounter("a", 1, 1000))
-        await fake.until(lambda fake: len(fake.seen) == 2)
-        assert fake.seen[0].writer is not fake.seen[1].writer
+        await fake.wait_until(lambda fake: len(fake.received) == 2)
+        assert fake.received[0].writer is not fake.received[1].writer
         counter.stop()
         fake.stop()
 
@@ -512,7 +512,7 @@
 
     async def scenario() -> None:
         monkeypatch.setattr(counter_module, "CONNECTIONS", 1)
-        listener = socket.create_server((LOOP, 0))
+        listener = socket.create_server((LOOPBACK, 0))
         made = counter_module._Connection.connection_made
         ended = asyncio.Event()
 
@@ -534,8 +534,8 @@
         counter.start()
         await ended.wait()
         await asyncio.sleep(0.01)  # the dial's task has ended, too
-        fake = FakeServer(lambda seen: reply(b"1"))
-        fake.endpoint = await asyncio.start_server(fake._serve, sock=listener)
+        fake = FakeServer(lambda seen: response_bytes(b"1"))
+        fake.asyncio_server = await asyncio.start_server(fake._serve, sock=listener)
         counter.call(IncrementCounter("a", 1, 1000))
         assert (await got.get()).result == CounterResult.OK
         counter.stop()
@@ -547,7 +547,7 @@
 def test_a_call_made_while_a_counter_connection_ends_goes_to_another(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         monkeypatch.setattr(counter_module, "CONNECTIONS", 2)
-        fake = FakeServer(lambda seen: reply(b"many" if len(fake.seen) == 1 else b"1"))
+        fake = FakeServer(lambda seen: response_bytes(b"many" if len(fake.received) == 1 else b"1"))
         await fake.start()
         got: asyncio.Queue[CounterReply] = asyncio.Queue()
 
@@ -556,7 +556,7 @@
             if answer.result == CounterResult.MALFORMED_RESPONSE:
                 counter.call(IncrementCounter("a", 1, 1000))
 
-        counter = CounterClient(asyncio.get_running_loop(), (LOOP, fake.port), 5000, replied)
+        counter = CounterClient(asyncio.get_running_loop(), (LOOPBACK, fake.port), 5000, replied)
         counter.call(IncrementCounter("a", 1, 1000))
         assert [(await got.get()).result, (await got.get()).result] == [
             CounterResult.MALFORMED_RESPONSE,
@@ -583,20 +583,20 @@
         silent: list[asyncio.StreamWriter] = []
 
         def behave(seen: ReceivedMessage) -> bytes | None:
-            if "/stuck" in seen.line:
+            if "/stuck" in seen.start_line:
                 silent.append(seen.writer)
-            return None if seen.writer in silent else reply(b"1")
+            return None if seen.writer in silent else response_bytes(b"1")
 
         fake = FakeServer(behave)
         await fake.start()
         got: asyncio.Queue[CounterReply] = asyncio.Queue()
-        counter = CounterClient(asyncio.get_running_loop(), (LOOP, fake.port), 200, got.put_nowait)
+        counter = CounterClient(asyncio.get_running_loop(), (LOOPBACK, fake.port), 200, got.put_nowait)
         counter.start()
         while not all(slot._connection for slot in counter._slots):
             await asyncio.sleep(0.01)
         for i in range(stuck):
             counter.call(IncrementCounter(f"stuck{i}", 1, 1000))
-        await fake.until(lambda fake: len(silent) == stuck)
+        await fake.wait_until(lambda fake: len(silent) == stuck)
         counter.call(IncrementCounter("well", 1, 1000))
         assert (await got.get()).result == CounterResult.OK
         ends = [await got.get() for _ in range(stuck)]
@@ -609,13 +609,13 @@
 
 def test_a_lost_counter_connection_is_dialled_before_a_call_needs_it(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        fake = FakeServer(lambda seen: b"" if len(fake.seen) == 1 else None)
+        fake = FakeServer(lambda seen: b"" if len(fake.received) == 1 else None)
         counter, got = await counter_with(monkeypatch, fake, 5000)
         counter.call(IncrementCounter("a", 1, 1000))
         assert (await got.get()).result == CounterResult.CONNECTION_LOST
-        await fake.until(lambda fake: fake.opened == 2)
+        await fake.wait_until(lambda fake: fake.opened == 2)
         counter.stop()
-        await fake.until(lambda fake: fake.closed == 1)
+        await fake.wait_until(lambda fake: fake.closed == 1)
         await asyncio.sleep(0.2)  # longer than the rests so far
         assert fake.opened == 2  # what is stopped dials no more
         fake.stop()
@@ -626,15 +626,15 @@
 def test_a_counter_that_refuses_added_nothing_and_comes_back(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         def behave(seen: ReceivedMessage) -> bytes:
-            return reply(b"1")
+            return response_bytes(b"1")
 
         fake = FakeServer(behave)
         counter, got = await counter_with(monkeypatch, fake, 5000)
         fake.stop()
-        await fake.endpoint.wait_closed()
+        await fake.asyncio_server.wait_closed()
         counter.call(IncrementCounter("a", 1, 1000))
         assert (await got.get()).result == CounterResult.CONNECT_FAILED
-        fake.endpoint = await asyncio.start_server(fake._serve, LOOP, fake.port)
+        fake.asyncio_server = await asyncio.start_server(fake._serve, LOOPBACK, fake.port)
         while True:  # calls in its rest fail at once; then it dials again
             counter.call(IncrementCounter("a", 1, 1000))
             if (await got.get()).result == CounterResult.OK:
@@ -648,13 +648,13 @@
 
 def test_a_total_of_the_counter_that_was_left_is_not_the_new_ones(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        old, new = FakeServer(lambda seen: None), FakeServer(lambda seen: reply(b"2"))
+        old, new = FakeServer(lambda seen: None), FakeServer(lambda seen: response_bytes(b"2"))
         counter, got = await counter_with(monkeypatch, old, 2000)
         await new.start()
         counter.call(IncrementCounter("a", 1, 1000))
-        await old.until(lambda fake: len(fake.seen) == 1)
-        counter.move((LOOP, new.port))
-        old.seen[0].writer.write(reply(b"70"))  # late, and true of the old one alone
+        await old.wait_until(lambda fake: len(fake.received) == 1)
+        counter.move((LOOPBACK, new.port))
+        old.received[0].writer.write(response_bytes(b"70"))  # late, and true of the old one alone
         assert (await got.get()).result == CounterResult.MALFORMED_RESPONSE
         counter.call(IncrementCounter("a", 1, 1000))
         answer = await got.get()
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -13,7 +13,7 @@
 
 import msgspec
 import pytest
-from support.http_fakes import LOOP, ROOT
+from support.http_fakes import LOOPBACK, ROOT
 from support.program import run_scenario
 
 from api_gateway.configuration import parse
@@ -35,7 +35,7 @@
 
 async def ask(server: asyncio.Server, *targets: str) -> list[tuple[int, bytes]]:
     """Requests written one behind another on one connection; status and body of each answer."""
-    reader, writer = await asyncio.open_connection(LOOP, server.sockets[0].getsockname()[1])
+    reader, writer = await asyncio.open_connection(LOOPBACK, server.sockets[0].getsockname()[1])
     for target in targets:
         method, path = target.split()
         writer.write(f"{method} {path} HTTP/1.1\r\nContent-Length: 0\r\n\r\n".encode())
@@ -166,8 +166,8 @@
                 configuration.raw(
                     me=me,
                     fleet=100,
-                    discovery=f"{LOOP}:{port[0]}",
-                    counter=f"{LOOP}:{port[1]}",
+                    discovery=f"{LOOPBACK}:{port[0]}",
+                    counter=f"{LOOPBACK}:{port[1]}",
                     asked=False,
                     seed=1,
                     refill=50.0,
