--- /dev/null
+++ b/api_gateway/network/downstream/request_parsing.py
@@ -0,0 +1,269 @@
+"""The codec of client requests: their headers, their framing, and the request that goes on upstream."""
+
+from __future__ import annotations
+
+import re
+from functools import lru_cache
+from typing import NamedTuple
+
+from api_gateway.model.settings import Idempotency, RequestClass, Settings
+from api_gateway.network.dispatcher import InboundRequest
+
+MAX_HEADER_BYTES = 32 * 1024
+MAX_BODY_BYTES = 64 * 1024
+TENANT_LIMIT = 2**33
+
+REQUEST_ID = b"x-request-id"
+REQUEST_CLASS = b"x-class"
+PLAN = b"plan"
+DEADLINE = b"x-deadline"
+QUOTA_INFO = b"quota-info"
+RETRY = b"x-retry"
+IDEMPOTENCY_KEY = b"idempotency-key"
+CONTENT_LENGTH = b"content-length"
+CONTENT_TYPE = b"content-type"
+TRANSFER_ENCODING = b"transfer-encoding"
+EXPECT = b"expect"
+KNOWN_HEADERS = frozenset(
+    (
+        REQUEST_ID,
+        REQUEST_CLASS,
+        PLAN,
+        DEADLINE,
+        QUOTA_INFO,
+        RETRY,
+        IDEMPOTENCY_KEY,
+        CONTENT_LENGTH,
+        CONTENT_TYPE,
+        TRANSFER_ENCODING,
+        EXPECT,
+    )
+)
+
+_IDENTIFIER_PATTERN = re.compile(rb"[!-~]{1,128}")
+_TENANT_PATTERN = re.compile(rb"[0-9a-fA-F]{16}")
+_DEADLINE_PATTERN = re.compile(rb"([0-9]{1,12}(?:\.[0-9]{1,6})?)([mu])")
+_UNITS_PATTERN = re.compile(r"[0-9]{1,9}(?:\.[0-9]{1,9})?")
+_COUNT_PATTERN = re.compile(r"[0-9]{1,6}")
+_QUOTA_INFO_CACHE_SIZE = 1024
+
+
+class BadRequestError(ValueError):
+    """A request that is rejected, with its connection closed after the response.
+
+    Attributes:
+        status: Status code of the response.
+    """
+
+    def __init__(self, reason: str, status: int = 400) -> None:
+        super().__init__(reason)
+        self.status = status
+
+
+class ParsedRequest:
+    """A request as parsed from its connection; filled in while its bytes arrive.
+
+    Attributes:
+        target: The request target (RFC 9112 section 3.2).
+        path: The target without its query; empty until the header section is complete.
+        method: The method; empty until the header section is complete.
+        headers: Values of the `KNOWN_HEADERS` by name in lower case.
+        header_bytes: Length of all header names and values.
+        has_repeated_header: Whether one of the `KNOWN_HEADERS` occurred twice.
+        body: The body in the pieces in which it arrived.
+        body_bytes: Length of the body.
+        keep_alive: Whether the connection persists after the response (RFC 9112 section 9.3).
+        received_at_s: When its last byte was read, by `time.monotonic`.
+    """
+
+    __slots__ = (
+        "body",
+        "body_bytes",
+        "has_repeated_header",
+        "header_bytes",
+        "headers",
+        "keep_alive",
+        "method",
+        "path",
+        "received_at_s",
+        "target",
+    )
+
+    def __init__(self) -> None:
+        self.target = b""
+        self.path = b""
+        self.method = b""
+        self.headers: dict[bytes, bytes] = {}
+        self.header_bytes = 0
+        self.has_repeated_header = False
+        self.body: list[bytes] = []
+        self.body_bytes = 0
+        self.keep_alive = True
+        self.received_at_s = 0.0
+
+    @property
+    def expects_continue(self) -> bool:
+        """Whether the client waits for a 100 response before it sends the body (RFC 9110 section 10.1.1)."""
+        return self.headers.get(EXPECT, b"").lower() == b"100-continue"
+
+    def add_body(self, data: bytes) -> None:
+        """Add a piece of the body.
+
+        Raises:
+            BadRequestError: If the body is longer than `MAX_BODY_BYTES`.
+        """
+        self.body_bytes += len(data)
+        if self.body_bytes > MAX_BODY_BYTES:
+            raise BadRequestError("body is too long", 413)
+        self.body.append(data)
+
+    def check_framing(self) -> None:
+        """Check that the length of the body is unambiguous and allowed (RFC 9112 section 6.3).
+
+        A message that two parsers could divide differently can hide a second request in its body (RFC 9112
+        section 11.2).
+
+        Raises:
+            BadRequestError: If it is not.
+        """
+        content_length = self.headers.get(CONTENT_LENGTH)
+        transfer_encoding = self.headers.get(TRANSFER_ENCODING)
+        if self.has_repeated_header:
+            raise BadRequestError("repeated header")
+        if transfer_encoding is not None:
+            if content_length is not None or transfer_encoding.strip().lower() != b"chunked":
+                raise BadRequestError("Transfer-Encoding")
+            return
+        if content_length is None:
+            return
+        if not content_length.isdigit():
+            raise BadRequestError("Content-Length")
+        if int(content_length) > MAX_BODY_BYTES:
+            raise BadRequestError("Content-Length", 413)
+
+
+class QuotaInfo(NamedTuple):
+    """Value of a Quota-Info header.
+
+    Attributes:
+        units: Size of the request in quota units, as estimated by the client.
+        gateway_count: Number of gateways that the tenant's requests may come through.
+        first_gateway: Index of the first of them.
+    """
+
+    units: float
+    gateway_count: int
+    first_gateway: int
+
+
+class RequestValidator:
+    """Checks requests against the settings, and converts them for the dispatcher.
+
+    Attributes:
+        parse_quota_info: Parses the value of a Quota-Info header; cached, since few values recur.
+    """
+
+    def __init__(self, settings: Settings) -> None:
+        self._classes = {c.name.encode(): c for c in settings.classes}
+        self._plans = {p.name.encode(): p.name for p in settings.plans}
+        self._max_units = settings.max_request_units
+        self._fleet_size = settings.fleet_size
+        self.parse_quota_info = lru_cache(_QUOTA_INFO_CACHE_SIZE)(self._parse_quota_info)
+
+    def validate(self, request: ParsedRequest) -> InboundRequest:
+        """Convert a complete request.
+
+        Raises:
+            BadRequestError: If it breaks the protocol, or names what the settings do not have.
+        """
+        headers = request.headers
+        tenant = _parse_tenant(request.path)
+        request_class = self._classes.get(headers.get(REQUEST_CLASS, b""))
+        plan_name = self._plans.get(headers.get(PLAN, b""))
+        if request_class is None or plan_name is None:
+            raise BadRequestError("X-Class or Plan")
+        time_left_ms = _parse_deadline(headers.get(DEADLINE, b""))
+        quota_info = self.parse_quota_info(headers.get(QUOTA_INFO, b""))
+        return InboundRequest(
+            wire_id=headers.get(REQUEST_ID, b""),
+            class_name=request_class.name,
+            plan_name=plan_name,
+            tenant=tenant,
+            time_left_ms=min(time_left_ms, request_class.deadline_ms),
+            units=quota_info.units,
+            gateway_count=quota_info.gateway_count,
+            first_gateway=quota_info.first_gateway,
+            is_retry=headers.get(RETRY) == b"1",
+            read_at=request.received_at_s,
+            head=_upstream_head(request, request_class),
+            body=b"".join(request.body),
+        )
+
+    def _parse_quota_info(self, value: bytes) -> QuotaInfo:
+        """Parse a value such as `units=2,spread=3,first=1`."""
+        parts = value.decode("latin-1").split(",")
+        fields = dict(part.strip().partition("=")[::2] for part in parts)
+        units, spread, first = (fields.get(name, "") for name in ("units", "spread", "first"))
+        if not (
+            _UNITS_PATTERN.fullmatch(units)
+            and _COUNT_PATTERN.fullmatch(spread)
+            and _COUNT_PATTERN.fullmatch(first)
+        ):
+            raise BadRequestError("Quota-Info")
+        quota_info = QuotaInfo(float(units), int(spread), int(first))
+        if not (
+            0 < quota_info.units <= self._max_units
+            and 1 <= quota_info.gateway_count <= self._fleet_size
+            and quota_info.first_gateway < self._fleet_size
+        ):
+            raise BadRequestError("Quota-Info is out of range")
+        return quota_info
+
+
+def _parse_tenant(path: bytes) -> str:
+    """Return the tenant that the last segment of the path names."""
+    tenant = path.rpartition(b"/")[2]
+    if not _TENANT_PATTERN.fullmatch(tenant) or int(tenant, 16) >= TENANT_LIMIT:
+        raise BadRequestError("tenant")
+    return tenant.decode().lower()
+
+
+def _parse_deadline(value: bytes) -> float:
+    """Return the milliseconds that an X-Deadline header gives, such as `250m` or, in microseconds, `900u`."""
+    match = _DEADLINE_PATTERN.fullmatch(value)
+    if match is None:
+        raise BadRequestError("X-Deadline")
+    return float(match[1]) / (1 if match[2] == b"m" else 1000)
+
+
+def _upstream_head(request: ParsedRequest, request_class: RequestClass) -> bytes:
+    """Return the request line and headers that are forwarded, without X-Deadline and the final CRLF."""
+    headers = request.headers
+    request_id = headers.get(REQUEST_ID, b"")
+    key = headers.get(IDEMPOTENCY_KEY)
+    if not _IDENTIFIER_PATTERN.fullmatch(request_id):
+        raise BadRequestError("X-Request-Id")
+    if key is not None and not _IDENTIFIER_PATTERN.fullmatch(key):
+        raise BadRequestError("Idempotency-Key")
+    _check_idempotency(request, request_class)
+    parts = [request.method, b" ", request.target, b" HTTP/1.1\r\nHost: upstream\r\n"]
+    parts += (b"X-Request-Id: ", request_id, b"\r\n")
+    if key is not None:
+        parts += (b"Idempotency-Key: ", key, b"\r\n")
+    if request.method == b"POST":
+        parts.append(b"Content-Length: %d\r\n" % request.body_bytes)
+    content_type = headers.get(CONTENT_TYPE)
+    if content_type is not None:
+        parts += (b"Content-Type: ", content_type, b"\r\n")
+    return b"".join(parts)
+
+
+def _check_idempotency(request: ParsedRequest, request_class: RequestClass) -> None:
+    """Check that the method, key and body fit the idempotency of the class (RFC 9110 section 9.2.2)."""
+    is_idempotent = request_class.idempotency is Idempotency.IDEMPOTENT
+    if request.method != (b"GET" if is_idempotent else b"POST"):
+        raise BadRequestError("method")
+    if is_idempotent and request.body:
+        raise BadRequestError("body")
+    if request_class.idempotency is Idempotency.WITH_KEY and IDEMPOTENCY_KEY not in request.headers:
+        raise BadRequestError("Idempotency-Key")
--- a/api_gateway/network/socket_state.py
+++ b/api_gateway/network/socket_state.py
@@ -1,7 +1,7 @@
-"""What the system knows of a connection and the loop has not told yet, asked at the moment it matters.
+"""What the kernel knows of a connection and the event loop has not delivered yet.
 
-A loop hands on what has come in its own turn, later under load, and not at all while reading is paused. Where
-an action cannot be taken back (a write, a close) the socket itself is asked right before it.
+A loop delivers data and the end of a connection in its own turn, later under load, and not at all while
+reading is paused. Before an action that cannot be undone (a write, a close) the socket itself is asked.
 """
 
 from __future__ import annotations
@@ -11,16 +11,17 @@
 
 
 def has_unread_data(transport: asyncio.BaseTransport) -> bool:
-    """Whether anything has come that is unread: data, or the other side's end."""
-    return _polled(transport, select.POLLIN)
+    """Return whether the socket is readable: data, or the end of the stream, is waiting to be read."""
+    return _poll(transport, select.POLLIN)
 
 
 def is_closed_by_peer(transport: asyncio.BaseTransport) -> bool:
-    """Whether the other side has ended or reset the connection, also behind data that is unread."""
-    return transport.is_closing() or _polled(transport, select.POLLRDHUP)
+    """Return whether the peer has closed or reset the connection, even if unread data precedes the end."""
+    return transport.is_closing() or _poll(transport, select.POLLRDHUP)
 
 
-def _polled(transport: asyncio.BaseTransport, events: int) -> bool:
+def _poll(transport: asyncio.BaseTransport, events: int) -> bool:
+    """Return whether one of `events`, an error or a hang-up is pending on the socket."""
     poll = select.poll()
     poll.register(transport.get_extra_info("socket").fileno(), events)
     return bool(poll.poll(0))
--- a/tests/test_acceptance_terms.py
+++ b/tests/test_acceptance_terms.py
@@ -582,7 +582,7 @@
                 while len(os.listdir(folder)) < full + 10:  # and are as many again
                     await asyncio.sleep(0.01)
             await served(0x10000)
-            assert not [line for line in rig.log if "accept failed" in line or "Too many open" in line]
+            assert not [line for line in rig.log if "accept_failed" in line or "Too many open" in line]
             for task in idle:
                 task.cancel()
 
--- a/tests/test_closing.py
+++ b/tests/test_downstream.py
@@ -12,10 +12,8 @@
 from support.program import run_scenario
 
 from api_gateway.network.dispatcher import InboundRequest
-from api_gateway.network.downstream import listener as listener_module
-from api_gateway.network.downstream.listener import Listener
-
-ACCEPTS = listener_module.ACCEPTS
+from api_gateway.network.downstream.connection import IDLE_TIMEOUT_S, DownstreamConnection
+from api_gateway.network.downstream.listener import MAX_ACCEPTS_PER_TURN, Listener
 
 
 class Dispatcher:
@@ -30,7 +28,7 @@
     def is_ready(self) -> bool:
         return True
 
-    def submit(self, client: listener_module.DownstreamConnection, order: InboundRequest) -> str:
+    def submit(self, client: DownstreamConnection, order: InboundRequest) -> str:
         self.taken.append(order.wire_id)
         client.respond(200, b"served")
         return order.wire_id.decode()
@@ -75,7 +73,7 @@
 def test_all_that_waits_in_the_backlog_is_served_before_the_listener_closes() -> None:
     async def scenario() -> None:
         rig = RunningProgram()
-        some = 2 * ACCEPTS + 3
+        some = 2 * MAX_ACCEPTS_PER_TURN + 3
         clients = [rig.client(request_bytes(request_id=b"id-%d" % i)) for i in range(some)]
         assert rig.endpoint.stop_accepting()  # the loop has had no turn: none is accepted yet
         for client in clients:
@@ -142,9 +140,9 @@
             rig.client(request_bytes(request_id=b"b")),
         )
         assert await rig.read(oldest) and await rig.read(second)
-        rig.endpoint._most = 2
+        rig.endpoint._max_connections = 2
         oldest.sendall(request_bytes(request_id=b"c"))
-        assert rig.endpoint._room()  # what a third client asks for
+        assert rig.endpoint._ensure_capacity()  # what a third client asks for
         assert (await rig.read(oldest)).startswith(b"HTTP/1.1 200")
         assert await rig.read(second) == b""
 
@@ -158,7 +156,7 @@
         assert await rig.read(asks) and await rig.read(silent)
         asks.sendall(request_bytes(request_id=b"c"))
         for connection in list(rig.endpoint.connections):
-            connection.check(rig.endpoint.loop.time() + listener_module.IDLE_S + 1)
+            connection.enforce_timeouts(rig.endpoint.loop.time() + IDLE_TIMEOUT_S + 1)
         assert (await rig.read(asks)).startswith(b"HTTP/1.1 200")
         assert await rig.read(silent) == b""
 
