--- a/tests/support/http_fakes.py
+++ b/tests/support/http_fakes.py
@@ -110,6 +110,25 @@
 Responder = Callable[[ReceivedMessage], bytes | None]
 
 
+def serve(request: ReceivedMessage) -> bytes:
+    """Answer with status 200 and the body `served`."""
+    return response_bytes(b"served")
+
+
+def serve_as(body: bytes) -> Responder:
+    """Return a responder that answers with status 200 and `body`."""
+    return lambda _: response_bytes(body)
+
+
+def stay_silent(request: ReceivedMessage) -> None:
+    """Send no response."""
+
+
+def reset_connection(request: ReceivedMessage) -> bytes:
+    """Reset the connection in place of a response."""
+    return b""
+
+
 async def read_message(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> ReceivedMessage:
     """Read one complete request or response."""
     start_line, *lines = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
@@ -175,6 +194,14 @@
             self.changed.clear()
             await self.changed.wait()
 
+    async def wait_for_requests(self, count: int) -> None:
+        """Wait until exactly `count` requests have been received."""
+        await self.wait_until(lambda _: len(self.received) == count)
+
+    def received_ids(self) -> list[str]:
+        """Return the X-Request-Id of each request, in the order of arrival."""
+        return [request.headers["x-request-id"] for request in self.received]
+
     def stop(self) -> None:
         """Stop listening; open connections stay open."""
         self.asyncio_server.close()
--- a/tests/support/program.py
+++ b/tests/support/program.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import functools
 import json
 import os
 import resource
@@ -142,8 +143,10 @@
                 "ROUTER_DISCOVERY": f"{LOOPBACK}:{self.discovery.server.port}",
             },
         )
+        start_log: list[str] = []
         while "listening on" not in (line := (await self.process.stderr.readline()).decode()):
-            assert line, "the program ended at its start"
+            assert line, f"the program ended at its start: {start_log}"
+            start_log.append(line)
         self.port = int(line.rsplit(":", 1)[1])
         if "sockets" in self.limits:
             resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (self.limits["sockets"],) * 2)
@@ -195,3 +198,20 @@
             await scenario()
 
     uvloop.run(bounded())  # the loop of the program: it fires timers before it reads sockets
+
+
+def async_test(limit_s: float = 30.0) -> Callable[[Callable[..., Coroutine]], Callable[..., None]]:
+    """Return a decorator that runs a coroutine function as a test, with `run_scenario`.
+
+    Args:
+        limit_s: Time limit in seconds.
+    """
+
+    def decorate(test: Callable[..., Coroutine]) -> Callable[..., None]:
+        @functools.wraps(test)
+        def run(**arguments: object) -> None:
+            run_scenario(lambda: test(**arguments), limit_s)
+
+        return run
+
+    return decorate
