--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -1,4 +1,8 @@
-"""Where a close of ours crosses a request of a client: forced by acting while the loop has had no turn."""
+"""The listener and its connections where a close of the gateway crosses a request of a client.
+
+What a test does between two awaits gives the event loop no turn: data that a client sends meanwhile is in the
+kernel and unread.
+"""
 
 from __future__ import annotations
 
@@ -9,165 +13,164 @@
 import pytest
 from support.gateway_driver import PLAN, SAFE, settings
 from support.http_fakes import LOOPBACK, request_bytes
-from support.program import run_scenario
+from support.program import async_test
 
 from api_gateway.network.dispatcher import InboundRequest
 from api_gateway.network.downstream.connection import IDLE_TIMEOUT_S, DownstreamConnection
 from api_gateway.network.downstream.listener import MAX_ACCEPTS_PER_TURN, Listener
 
 
-class Dispatcher:
-    """Serves at once, or holds what is asked for."""
+class FakeDispatcher:
+    """Answers each request at once.
+
+    Attributes:
+        request_ids: X-Request-Id of each request, in the order of arrival.
+    """
 
     def __init__(self) -> None:
         plan = dataclasses.replace(PLAN, name="team")
         self.settings = settings(classes=(SAFE,), plans=(plan,), fleet_size=1)
-        self.draining = self.ended = False
-        self.taken: list[bytes] = []
+        self.draining = False
+        self.ended = False
+        self.request_ids: list[bytes] = []
 
     def is_ready(self) -> bool:
         return True
 
-    def submit(self, client: DownstreamConnection, order: InboundRequest) -> str:
-        self.taken.append(order.wire_id)
+    def submit(self, client: DownstreamConnection, inbound_request: InboundRequest) -> str:
+        self.request_ids.append(inbound_request.wire_id)
         client.respond(200, b"served")
-        return order.wire_id.decode()
+        return inbound_request.wire_id.decode()
 
-    def client_disconnected(self, rid: str) -> None:
-        raise AssertionError("nothing is open")
+    def client_disconnected(self, request_id: str) -> None:
+        raise AssertionError("no request is in flight")
 
 
-class RunningProgram:
-    """A server in this process, and clients whose calls give its loop no turn."""
+class RunningListener:
+    """A listener in this process, and clients whose calls give its loop no turn."""
 
-    def __init__(self, sockets: int = 1024) -> None:
-        self.dispatcher = Dispatcher()
-        self.endpoint = Listener(self.dispatcher, asyncio.get_running_loop(), sockets)
-        self.address = self.endpoint.start((LOOPBACK, 0))
+    def __init__(self, descriptor_limit: int = 1024) -> None:
+        self.dispatcher = FakeDispatcher()
+        self.listener = Listener(self.dispatcher, asyncio.get_running_loop(), descriptor_limit)
+        self.address = self.listener.start((LOOPBACK, 0))
 
-    def client(self, *sent: bytes) -> socket.socket:
+    def connect(self, data: bytes = b"") -> socket.socket:
+        """Open a connection, and send `data` on it."""
         client = socket.create_connection(self.address)
         client.setblocking(False)
-        for data in sent:
-            client.sendall(data)
+        client.sendall(data)
         return client
 
-    async def until_taken(self, count: int) -> None:
-        while len(self.dispatcher.taken) < count:
+    def connect_and_request(self, request_id: bytes) -> socket.socket:
+        """Open a connection, and send a request on it."""
+        return self.connect(request_bytes(request_id=request_id))
+
+    async def wait_for_requests(self, count: int) -> None:
+        while len(self.dispatcher.request_ids) < count:
             await asyncio.sleep(0.001)
 
     async def read(self, client: socket.socket) -> bytes:
-        """All that comes up to the end of the connection, or to a whole answer."""
-        data = b""
-        while not data.endswith(b"served"):
+        """Read up to the end of a response, or of the connection."""
+        received = b""
+        while not received.endswith(b"served"):
             try:
-                more = await asyncio.get_running_loop().sock_recv(client, 4096)
+                data = await asyncio.get_running_loop().sock_recv(client, 4096)
             except ConnectionResetError:
-                more = b""
-            if not more:
                 break
-            data += more
-        return data
-
-
-def test_all_that_waits_in_the_backlog_is_served_before_the_listener_closes() -> None:
-    async def scenario() -> None:
-        rig = RunningProgram()
-        some = 2 * MAX_ACCEPTS_PER_TURN + 3
-        clients = [rig.client(request_bytes(request_id=b"id-%d" % i)) for i in range(some)]
-        assert rig.endpoint.stop_accepting()  # the loop has had no turn: none is accepted yet
-        for client in clients:
-            assert (await rig.read(client)).startswith(b"HTTP/1.1 200")
-        with pytest.raises(ConnectionRefusedError):
-            rig.client()
-
-    run_scenario(scenario, 5)
-
-
-def test_the_listener_stays_open_while_there_is_no_room_for_its_backlog() -> None:
-    async def scenario() -> None:
-        rig = RunningProgram(sockets=4)  # two clients
-        clients = [rig.client(request_bytes(request_id=b"id-%d" % i)) for i in range(4)]
-        assert not rig.endpoint.stop_accepting()
-        while not rig.endpoint.stop_accepting():
-            await asyncio.sleep(0.01)
-        await rig.until_taken(4)
-        for client in clients:
-            assert (await rig.read(client)).startswith(b"HTTP/1.1 200")
-
-    run_scenario(scenario, 5)
-
-
-def test_an_idle_connection_whose_next_request_is_unread_is_not_closed() -> None:
-    async def scenario() -> None:
-        rig = RunningProgram()
-        kept, quiet = rig.client(request_bytes(request_id=b"a")), rig.client(request_bytes(request_id=b"b"))
-        assert await rig.read(kept) and await rig.read(quiet)
-        kept.sendall(request_bytes(request_id=b"c"))
-        rig.dispatcher.draining = True
-        assert not rig.endpoint.close_idle()
-        assert (await rig.read(kept)).startswith(b"HTTP/1.1 200")
-        assert await rig.read(quiet) == b""
-        while not rig.endpoint.close_idle():  # and its answer was the last on it
-            await asyncio.sleep(0.001)
-        assert rig.dispatcher.taken == [b"a", b"b", b"c"]
-
-    run_scenario(scenario, 5)
-
-
-def test_a_connection_that_has_just_come_up_is_given_time_to_ask() -> None:
-    async def scenario() -> None:
-        rig = RunningProgram()
-        fresh, silent = rig.client(), rig.client()
-        while len(rig.endpoint.connections) < 2:
-            await asyncio.sleep(0.001)
-        rig.dispatcher.draining = True
-        assert not rig.endpoint.close_idle()
-        fresh.sendall(request_bytes(request_id=b"a"))
-        assert (await rig.read(fresh)).startswith(b"HTTP/1.1 200")
-        while not rig.endpoint.close_idle():
-            await asyncio.sleep(0.01)
-        assert await rig.read(silent) == b""
-
-    run_scenario(scenario, 5)
-
-
-def test_a_connection_whose_next_request_is_unread_does_not_give_way() -> None:
-    async def scenario() -> None:
-        rig = RunningProgram()
-        oldest, second = (
-            rig.client(request_bytes(request_id=b"a")),
-            rig.client(request_bytes(request_id=b"b")),
-        )
-        assert await rig.read(oldest) and await rig.read(second)
-        rig.endpoint._max_connections = 2
-        oldest.sendall(request_bytes(request_id=b"c"))
-        assert rig.endpoint._ensure_capacity()  # what a third client asks for
-        assert (await rig.read(oldest)).startswith(b"HTTP/1.1 200")
-        assert await rig.read(second) == b""
-
-    run_scenario(scenario, 5)
-
-
-def test_a_silent_connection_is_closed_but_not_one_whose_request_is_unread() -> None:
-    async def scenario() -> None:
-        rig = RunningProgram()
-        asks, silent = rig.client(request_bytes(request_id=b"a")), rig.client(request_bytes(request_id=b"b"))
-        assert await rig.read(asks) and await rig.read(silent)
-        asks.sendall(request_bytes(request_id=b"c"))
-        for connection in list(rig.endpoint.connections):
-            connection.enforce_timeouts(rig.endpoint.loop.time() + IDLE_TIMEOUT_S + 1)
-        assert (await rig.read(asks)).startswith(b"HTTP/1.1 200")
-        assert await rig.read(silent) == b""
-
-    run_scenario(scenario, 5)
-
-
-def test_what_comes_after_the_last_moment_is_refused_and_begins_nothing() -> None:
-    async def scenario() -> None:
-        rig = RunningProgram()
-        rig.dispatcher.draining = rig.dispatcher.ended = True
-        client = rig.client(request_bytes(request_id=b"late"))
-        assert (await rig.read(client)).startswith(b"HTTP/1.1 503") and not rig.dispatcher.taken
-
-    run_scenario(scenario, 5)
+            if not data:
+                break
+            received += data
+        return received
+
+    async def is_served(self, client: socket.socket) -> bool:
+        """Read a response, and return whether its status is 200."""
+        return (await self.read(client)).startswith(b"HTTP/1.1 200")
+
+    async def is_closed(self, client: socket.socket) -> bool:
+        """Return whether the connection ends without a response."""
+        return await self.read(client) == b""
+
+
+@async_test(limit_s=5)
+async def test_backlog_is_served_before_the_listener_closes() -> None:
+    running = RunningListener()
+    clients = [running.connect_and_request(b"id-%d" % i) for i in range(2 * MAX_ACCEPTS_PER_TURN + 3)]
+    assert running.listener.stop_accepting()  # the loop has had no turn: none is accepted yet
+    for client in clients:
+        assert await running.is_served(client)
+    with pytest.raises(ConnectionRefusedError):
+        running.connect()
+
+
+@async_test(limit_s=5)
+async def test_listener_stays_open_until_there_is_capacity_for_its_backlog() -> None:
+    running = RunningListener(descriptor_limit=4)  # two clients
+    clients = [running.connect_and_request(b"id-%d" % i) for i in range(4)]
+    assert not running.listener.stop_accepting()
+    while not running.listener.stop_accepting():
+        await asyncio.sleep(0.01)
+    await running.wait_for_requests(4)
+    for client in clients:
+        assert await running.is_served(client)
+
+
+@async_test(limit_s=5)
+async def test_shutdown_keeps_an_idle_connection_with_an_unread_request() -> None:
+    running = RunningListener()
+    active, idle = running.connect_and_request(b"a"), running.connect_and_request(b"b")
+    assert await running.read(active) and await running.read(idle)
+    active.sendall(request_bytes(request_id=b"c"))
+    running.dispatcher.draining = True
+    assert not running.listener.close_idle()
+    assert await running.is_served(active)
+    assert await running.is_closed(idle)
+    while not running.listener.close_idle():  # the response was the last one on its connection
+        await asyncio.sleep(0.001)
+    assert running.dispatcher.request_ids == [b"a", b"b", b"c"]
+
+
+@async_test(limit_s=5)
+async def test_shutdown_waits_for_the_first_request_of_a_new_connection() -> None:
+    running = RunningListener()
+    active, silent = running.connect(), running.connect()
+    while len(running.listener.connections) < 2:
+        await asyncio.sleep(0.001)
+    running.dispatcher.draining = True
+    assert not running.listener.close_idle()
+    active.sendall(request_bytes(request_id=b"a"))
+    assert await running.is_served(active)
+    while not running.listener.close_idle():
+        await asyncio.sleep(0.01)
+    assert await running.is_closed(silent)
+
+
+@async_test(limit_s=5)
+async def test_connection_with_an_unread_request_is_not_evicted() -> None:
+    running = RunningListener()
+    oldest, second = running.connect_and_request(b"a"), running.connect_and_request(b"b")
+    assert await running.read(oldest) and await running.read(second)
+    running.listener._max_connections = 2
+    oldest.sendall(request_bytes(request_id=b"c"))
+    assert running.listener._ensure_capacity()  # as for a third client
+    assert await running.is_served(oldest)
+    assert await running.is_closed(second)
+
+
+@async_test(limit_s=5)
+async def test_idle_timeout_spares_a_connection_with_an_unread_request() -> None:
+    running = RunningListener()
+    active, silent = running.connect_and_request(b"a"), running.connect_and_request(b"b")
+    assert await running.read(active) and await running.read(silent)
+    active.sendall(request_bytes(request_id=b"c"))
+    for connection in list(running.listener.connections):
+        connection.enforce_timeouts(running.listener.loop.time() + IDLE_TIMEOUT_S + 1)
+    assert await running.is_served(active)
+    assert await running.is_closed(silent)
+
+
+@async_test(limit_s=5)
+async def test_request_after_the_end_of_shutdown_is_rejected() -> None:
+    running = RunningListener()
+    running.dispatcher.draining = running.dispatcher.ended = True
+    client = running.connect_and_request(b"late")
+    assert (await running.read(client)).startswith(b"HTTP/1.1 503") and not running.dispatcher.request_ids
