--- a/tests/support/dispatcher_driver.py
+++ b/tests/support/dispatcher_driver.py
@@ -19,7 +19,7 @@
 from api_gateway.network import dispatcher as dispatcher_module
 from api_gateway.network.discovery import EndpointList, parse_endpoint_list
 from api_gateway.network.dispatcher import Dispatcher, InboundRequest
-from support.http_fakes import CLASS_SETTINGS, LOOP, PLAN_SETTINGS, FakeServer, instance
+from support.http_fakes import CLASS_SETTINGS, LOOPBACK, PLAN_SETTINGS, FakeServer, instance
 
 ENDPOINT = "s-0"
 _serial_numbers = itertools.count(1)
@@ -99,15 +99,15 @@
     await endpoint.start()
     configuration = parse(
         {
-            "listen": f"{LOOP}:0",
-            "discovery": f"{LOOP}:{endpoint.port}",
+            "listen": f"{LOOPBACK}:0",
+            "discovery": f"{LOOPBACK}:{endpoint.port}",
             "seed": "1",
             "known": {"generation": 1, "reset": True, "instances": [instance(ENDPOINT, endpoint.port)]},
             "settings": {"grades": CLASS_SETTINGS, "packages": PLAN_SETTINGS, "bounds": {"try_limit": 2}},
         }
     )
     dispatcher = Dispatcher(configuration, asyncio.get_running_loop())
-    dispatcher._apply_endpoint_list(configuration.known, UpdateKind.CACHED)
+    dispatcher._apply_endpoint_list(configuration.cached_endpoints, UpdateKind.CACHED)
     dispatcher._loop.call_soon(dispatcher._lag._measure)
     return dispatcher, dispatcher._gateway
 
--- a/tests/test_acceptance_client_disconnect.py
+++ b/tests/test_acceptance_client_disconnect.py
@@ -11,7 +11,7 @@
 
 import pytest
 from support.dispatcher_driver import ENDPOINT, HeldConnects, ScriptedDecisions, start_dispatcher
-from support.http_fakes import LOOP, FakeServer, message
+from support.http_fakes import LOOPBACK, FakeServer, request_bytes
 from support.program import run_scenario
 
 from api_gateway.model.actions import RejectRequest, StartAttempt
@@ -20,8 +20,8 @@
 from api_gateway.network.dispatcher import Dispatcher
 from api_gateway.network.downstream.listener import Listener
 
-FIRST_REQUEST = message(rid=b"0000000000000001")
-SECOND_REQUEST = message(rid=b"0000000000000002")
+FIRST_REQUEST = request_bytes(request_id=b"0000000000000001")
+SECOND_REQUEST = request_bytes(request_id=b"0000000000000002")
 
 
 class Frontend:
@@ -30,7 +30,7 @@
     def __init__(self, dispatcher: Dispatcher, decisions: ScriptedDecisions, endpoint: FakeServer) -> None:
         self.dispatcher, self.decisions, self.endpoint = dispatcher, decisions, endpoint
         self.listener = Listener(dispatcher, asyncio.get_running_loop(), 1024)
-        self.address = self.listener.start((LOOP, 0))
+        self.address = self.listener.start((LOOPBACK, 0))
 
     def connect(self, data: bytes) -> socket.socket:
         """Connect a client and send its requests."""
@@ -50,7 +50,9 @@
         """Let the event loop run on, and check that no more requests reach the endpoint."""
         for _ in range(50):
             await asyncio.sleep(0.001)
-        assert len(self.endpoint.seen) == count, [seen.line for seen in self.endpoint.seen]
+        assert len(self.endpoint.received) == count, [
+            request.start_line for request in self.endpoint.received
+        ]
 
 
 @pytest.mark.parametrize(
@@ -67,13 +69,13 @@
     """The result of the attempt and the client's end are unread together; the result is handled first."""
 
     async def scenario() -> None:
-        endpoint = FakeServer(lambda seen: response)
+        endpoint = FakeServer(lambda request: response)
         dispatcher, decisions = await start_dispatcher(monkeypatch, endpoint)
         frontend = Frontend(dispatcher, decisions, endpoint)
         decisions.next_actions[RequestReceived] = [StartAttempt("r1", ENDPOINT, timeout_ms)]
         client = frontend.connect(FIRST_REQUEST)
         request_id = await frontend.request_received()
-        await endpoint.until(lambda fake: len(fake.seen) == 1)
+        await endpoint.wait_until(lambda fake: len(fake.received) == 1)
         client.close()
         attempt = dispatcher._request_handler.requests.get(request_id).attempts[0]
         decisions.next_actions[AttemptEnded] = [StartAttempt(request_id, ENDPOINT, 5000)]
@@ -101,7 +103,7 @@
     """The decisions start an attempt while the client's end is unread."""
 
     async def scenario() -> None:
-        endpoint = FakeServer(lambda seen: None)
+        endpoint = FakeServer(lambda request: None)
         dispatcher, decisions = await start_dispatcher(monkeypatch, endpoint)
         frontend = Frontend(dispatcher, decisions, endpoint)
         if first_endpoint is not None:
@@ -126,7 +128,7 @@
     """The first response and the client's end cross: the second request starts nothing."""
 
     async def scenario() -> None:
-        endpoint = FakeServer(lambda seen: None)
+        endpoint = FakeServer(lambda request: None)
         dispatcher, decisions = await start_dispatcher(monkeypatch, endpoint)
         frontend = Frontend(dispatcher, decisions, endpoint)
         client = frontend.connect(FIRST_REQUEST + SECOND_REQUEST)
@@ -150,20 +152,20 @@
     """The client's end is read during the connect, or is unread when the connect has succeeded."""
 
     async def scenario() -> None:
-        endpoint = FakeServer(lambda seen: None)
+        endpoint = FakeServer(lambda request: None)
         dispatcher, decisions = await start_dispatcher(monkeypatch, endpoint)
         dispatcher._pool._loop = connects = HeldConnects(dispatcher._loop)
         frontend = Frontend(dispatcher, decisions, endpoint)
         decisions.next_actions[RequestReceived] = [StartAttempt("r1", ENDPOINT, 5000)]
         client = frontend.connect(FIRST_REQUEST)
         await frontend.request_received()
-        await endpoint.until(lambda fake: fake.opened == 1)
+        await endpoint.wait_until(lambda fake: fake.opened == 1)
         if connected:
             connects.release.set()  # reported in the next turn of the event loop
         client.close()
-        await endpoint.until(lambda fake: fake.closed == 1)
+        await endpoint.wait_until(lambda fake: fake.closed == 1)
         assert decisions.attempt_results() == [AttemptResult.WITHDRAWN]
-        assert not endpoint.seen
+        assert not endpoint.received
         assert not dispatcher._request_handler.requests
         endpoint.stop()
 
--- a/tests/test_acceptance_descriptors.py
+++ b/tests/test_acceptance_descriptors.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from support.http_fakes import CLASS_SETTINGS, LOOP, PLAN_SETTINGS, message, reply
+from support.http_fakes import CLASS_SETTINGS, LOOPBACK, PLAN_SETTINGS, request_bytes, response_bytes
 from support.program import RunningProgram, run_scenario
 
 from api_gateway.configuration import (
@@ -22,7 +22,7 @@
 
 
 def serve(seen: object) -> bytes:
-    return reply(b"served")
+    return response_bytes(b"served")
 
 
 async def hold_idle_connection(program: RunningProgram) -> None:
@@ -40,7 +40,7 @@
     number = first_number
     while True:
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
-            if await program.status(message(rid=b"%016x" % number)) == 200:
+            if await program.request_status(request_bytes(request_id=b"%016x" % number)) == 200:
                 return
         number += 1
 
@@ -59,7 +59,7 @@
 
     async def scenario() -> None:
         async with RunningProgram(tmp_path, serve, sockets=sockets) as program:
-            fakes = (program.directory.fake, program.counter)
+            fakes = (program.discovery.server, program.counter)
             for fake in fakes:
                 fake.stop()
             for fake in fakes:
@@ -71,8 +71,8 @@
             await send_until_served(program, 0x100)
             for fake in fakes:
                 opened = fake.opened
-                fake.endpoint = await asyncio.start_server(fake._serve, LOOP, fake.port)
-                await fake.until(lambda fake, opened=opened: fake.opened > opened)
+                fake.asyncio_server = await asyncio.start_server(fake._serve, LOOPBACK, fake.port)
+                await fake.wait_until(lambda fake, opened=opened: fake.opened > opened)
                 await until_descriptors_are_held(program, held)
             await send_until_served(program, 0x10000)
             assert not [line for line in program.log if "accept failed" in line or "Too many open" in line]
@@ -91,7 +91,7 @@
 
     async def scenario() -> None:
         async with RunningProgram(tmp_path, serve, sockets=MIN_DESCRIPTORS) as program:
-            await program.counter.until(lambda fake: fake.opened == 4)
+            await program.counter.wait_until(lambda fake: fake.opened == 4)
             own = MIN_DESCRIPTORS
             for _ in range(30):  # until the connection of the readiness check is gone
                 own = min(own, len(os.listdir(f"/proc/{program.process.pid}/fd")))
@@ -114,8 +114,8 @@
     with pytest.raises(ConfigurationError, match="the system allows 64 descriptors, 128 are needed"):
         parse(
             {
-                "listen": f"{LOOP}:1",
-                "discovery": f"{LOOP}:2",
+                "listen": f"{LOOPBACK}:1",
+                "discovery": f"{LOOPBACK}:2",
                 "seed": "1",
                 "settings": {"grades": CLASS_SETTINGS, "packages": PLAN_SETTINGS},
             }
--- a/tests/test_acceptance_idempotency_window.py
+++ b/tests/test_acceptance_idempotency_window.py
@@ -17,7 +17,7 @@
     submit_with_held_connect,
 )
 from support.gateway_driver import KEYED, GatewayDriver, actions_of_type, endpoint
-from support.http_fakes import FakeServer, instance, reply
+from support.http_fakes import FakeServer, instance, response_bytes
 from support.program import run_scenario
 
 from api_gateway.model.actions import FailRequest, StartAttempt
@@ -30,7 +30,7 @@
 
 
 def serve(seen: object) -> bytes:
-    return reply(b"served")
+    return response_bytes(b"served")
 
 
 def test_retry_carries_what_is_left_of_the_window() -> None:
@@ -58,14 +58,14 @@
         fake = FakeServer(serve)
         monkeypatch.setattr(ConnectionPool, "_start_write_timer", lambda self, attempt: None)
         request = await submit_with_held_connect(monkeypatch, fake, then=FailRequest, write_timeout_ms=60_000)
-        await fake.until(lambda fake: fake.opened == 1)
+        await fake.wait_until(lambda fake: fake.opened == 1)
         (attempt,) = request.dispatcher._pool._pending_connects
         attempt.write_deadline = time.monotonic() - 0.001
         request.connects.release.set()
         assert await request.client.statuses.get() == 502
         assert request.decisions.attempt_results() == [AttemptResult.WITHDRAWN]
-        await fake.until(lambda fake: fake.closed == 1)
-        assert not fake.seen
+        await fake.wait_until(lambda fake: fake.closed == 1)
+        assert not fake.received
         fake.stop()
 
     run_scenario(scenario, 3)
@@ -132,7 +132,7 @@
     """Its last byte would make the endpoint run it long after; no cancel action is needed."""
 
     async def scenario() -> None:
-        fake = PausedServer(lambda seen: None)
+        fake = PausedServer(lambda request: None)
         dispatcher, decisions = await start_dispatcher(monkeypatch, fake)
         request_id = await submit_with_unsent_bytes(
             dispatcher, decisions, write_timeout_ms=50 if reason == "window over" else math.inf
@@ -161,7 +161,7 @@
         attempt.started_at -= 1.5
         request.connects.release.set()
         assert await request.client.statuses.get() == 200
-        assert int(fake.seen[0].headers["x-deadline"].removesuffix("m")) <= 500
+        assert int(fake.received[0].headers["x-deadline"].removesuffix("m")) <= 500
         fake.stop()
 
     run_scenario(scenario, 3)
@@ -173,7 +173,7 @@
     async def scenario() -> None:
         fake = FakeServer(serve)
         request = await submit_with_held_connect(monkeypatch, fake)
-        await fake.until(lambda fake: fake.opened == 1)
+        await fake.wait_until(lambda fake: fake.opened == 1)
         restarted = {**instance(ENDPOINT, fake.port), "startedAtMs": 1e12}
         request.dispatcher._endpoints_updated(
             parse_endpoint_list({"generation": 2, "reset": False, "instances": [restarted]})
--- a/tests/test_acceptance_restart.py
+++ b/tests/test_acceptance_restart.py
@@ -6,11 +6,11 @@
 from pathlib import Path
 
 import pytest
-from support.http_fakes import message, reply
+from support.http_fakes import request_bytes, response_bytes
 from support.program import RunningProgram, run_scenario
 
 MAX_STARTUP_S = 5.0  # half of the 10 s: a machine that starts many at once takes longer for each
-RESPONSES = {"silent": None, "refused": None, "rejected": reply(b"", 503), "reset": b""}
+RESPONSES = {"silent": None, "refused": None, "rejected": response_bytes(b"", 503), "reset": b""}
 
 
 @pytest.mark.parametrize("polled", [False, True])
@@ -22,17 +22,17 @@
 
     async def scenario() -> None:
         async with RunningProgram(
-            tmp_path, lambda seen: reply(b"served"), asked=polled, fleet=200
+            tmp_path, lambda request: response_bytes(b"served"), polls_discovery=polled, fleet_size=200
         ) as program:
-            program.known = {"generation": 1, "reset": True, "instances": program.directory.instances}
+            program.cached_list = {"generation": 1, "reset": True, "instances": program.discovery.instances}
             program.process.kill()
             await program.process.wait()
             if discovery == "refused":
-                program.directory.fake.stop()
-            program.directory.fake.behave = lambda seen: RESPONSES[discovery]
+                program.discovery.server.stop()
+            program.discovery.server.respond = lambda request: RESPONSES[discovery]
             started = time.monotonic()
             await program.launch()  # returns once it is ready
             assert time.monotonic() - started < MAX_STARTUP_S
-            assert await program.status(message(rid=b"restarted")) == 200
+            assert await program.request_status(request_bytes(request_id=b"restarted")) == 200
 
     run_scenario(scenario, 30)
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -8,7 +8,7 @@
 
 import pytest
 from support.dispatcher_driver import ENDPOINT, RecordingClient, inbound_request, start_dispatcher
-from support.http_fakes import FakeServer, reply
+from support.http_fakes import FakeServer, response_bytes
 from support.program import run_scenario
 
 from api_gateway.model.actions import CancelAttempt, FailRequest, RejectRequest, StartAttempt
@@ -26,7 +26,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
-        endpoint = FakeServer(lambda seen: None)
+        endpoint = FakeServer(lambda request: None)
         dispatcher, decisions = await start_dispatcher(monkeypatch, endpoint)
         client, started = RecordingClient(), time.monotonic()
         decisions.next_actions[RequestReceived] = [StartAttempt("r1", ENDPOINT, 5000)]  # in flight until 504
@@ -34,7 +34,7 @@
         assert await client.statuses.get() == 504
         assert time.monotonic() - started < 0.3
         assert decisions.events[-1] == ClientDisconnected("r1")
-        assert len(endpoint.seen) == 1
+        assert len(endpoint.received) == 1
         decisions.next_actions[TimerFired] = [
             StartAttempt("r1", ENDPOINT, 100),
             RejectRequest("r1"),
@@ -43,7 +43,7 @@
         dispatcher._post(TimerFired("late"))
         assert decisions.attempt_results() == [AttemptResult.NOT_STARTED]
         await asyncio.sleep(0.05)
-        assert client.statuses.empty() and len(endpoint.seen) == 1
+        assert client.statuses.empty() and len(endpoint.received) == 1
         endpoint.stop()
 
     run_scenario(scenario)
@@ -51,7 +51,7 @@
 
 def test_exception_in_the_decisions_fails_one_request_only(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        endpoint = FakeServer(lambda seen: reply(b"served"))
+        endpoint = FakeServer(lambda request: response_bytes(b"served"))
         dispatcher, decisions = await start_dispatcher(monkeypatch, endpoint)
         failed, served = RecordingClient(), RecordingClient()
         decisions.next_actions[RequestReceived] = RuntimeError("broken")
@@ -67,7 +67,7 @@
 
 def test_each_attempt_has_exactly_one_result(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        endpoint = FakeServer(lambda seen: None)
+        endpoint = FakeServer(lambda request: None)
         dispatcher, decisions = await start_dispatcher(monkeypatch, endpoint)
         client = RecordingClient()
         decisions.next_actions[RequestReceived] = [
@@ -77,14 +77,14 @@
         ]
         dispatcher.submit(client, inbound_request())
         assert decisions.attempt_results() == [AttemptResult.CONNECT_FAILED, AttemptResult.NOT_STARTED]
-        await endpoint.until(lambda fake: bool(fake.seen))
+        await endpoint.wait_until(lambda fake: bool(fake.received))
         decisions.next_actions[TimerFired] = [
             CancelAttempt("r1", 0),
             CancelAttempt("r1", 0),
             FailRequest("r1"),
         ]
         dispatcher._post(TimerFired("cancel"))
-        await endpoint.until(lambda fake: fake.closed == 1)
+        await endpoint.wait_until(lambda fake: fake.closed == 1)
         assert decisions.attempt_results() == [
             AttemptResult.CONNECT_FAILED,
             AttemptResult.NOT_STARTED,
@@ -101,7 +101,7 @@
     """Its end is unread when the counter answers and the decisions start an attempt."""
 
     async def scenario() -> None:
-        endpoint = FakeServer(lambda seen: reply(b"served"))
+        endpoint = FakeServer(lambda request: response_bytes(b"served"))
         dispatcher, decisions = await start_dispatcher(monkeypatch, endpoint)
         client = RecordingClient()
         request_id = dispatcher.submit(client, inbound_request())
@@ -120,14 +120,16 @@
 
 def test_event_loop_stall_is_not_counted_as_latency_of_the_endpoint(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        endpoint = FakeServer(lambda seen: None)
+        endpoint = FakeServer(lambda request: None)
         dispatcher, decisions = await start_dispatcher(monkeypatch, endpoint)
         await asyncio.sleep(0.1)
         decisions.next_actions[RequestReceived] = [StartAttempt("r1", ENDPOINT, 3000)]
         client = RecordingClient()
         dispatcher.submit(client, inbound_request())
-        await endpoint.until(lambda fake: any("/api/" in seen.line for seen in fake.seen))
-        os.write(endpoint.seen[-1].writer.get_extra_info("socket").fileno(), reply(b"served"))
+        await endpoint.wait_until(
+            lambda fake: any("/api/" in request.start_line for request in fake.received)
+        )
+        os.write(endpoint.received[-1].writer.get_extra_info("socket").fileno(), response_bytes(b"served"))
         time.sleep(0.6)  # the response is unread meanwhile
         assert await client.statuses.get() == 200
         (ended,) = [event for event in decisions.events if isinstance(event, AttemptEnded)]
--- /dev/null
+++ b/tests/test_downstream.py
@@ -0,0 +1,176 @@
+"""The listener and its connections where a close of the gateway crosses a request of a client.
+
+What a test does between two awaits gives the event loop no turn: data that a client sends meanwhile is in the
+kernel and unread.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import dataclasses
+import socket
+
+import pytest
+from support.gateway_driver import PLAN, SAFE, settings
+from support.http_fakes import LOOPBACK, request_bytes
+from support.program import async_test
+
+from api_gateway.network.dispatcher import InboundRequest
+from api_gateway.network.downstream.connection import IDLE_TIMEOUT_S, DownstreamConnection
+from api_gateway.network.downstream.listener import MAX_ACCEPTS_PER_TURN, Listener
+
+
+class FakeDispatcher:
+    """Answers each request at once.
+
+    Attributes:
+        request_ids: X-Request-Id of each request, in the order of arrival.
+    """
+
+    def __init__(self) -> None:
+        plan = dataclasses.replace(PLAN, name="team")
+        self.settings = settings(classes=(SAFE,), plans=(plan,), fleet_size=1)
+        self.draining = False
+        self.terminated = False
+        self.request_ids: list[bytes] = []
+
+    def is_ready(self) -> bool:
+        return True
+
+    def submit(self, client: DownstreamConnection, inbound_request: InboundRequest) -> str:
+        self.request_ids.append(inbound_request.wire_id)
+        client.respond(200, b"served")
+        return inbound_request.wire_id.decode()
+
+    def client_disconnected(self, request_id: str) -> None:
+        raise AssertionError("no request is in flight")
+
+
+class RunningListener:
+    """A listener in this process, and clients whose calls give its loop no turn."""
+
+    def __init__(self, descriptor_limit: int = 1024) -> None:
+        self.dispatcher = FakeDispatcher()
+        self.listener = Listener(self.dispatcher, asyncio.get_running_loop(), descriptor_limit)
+        self.address = self.listener.start((LOOPBACK, 0))
+
+    def connect(self, data: bytes = b"") -> socket.socket:
+        """Open a connection, and send `data` on it."""
+        client = socket.create_connection(self.address)
+        client.setblocking(False)
+        client.sendall(data)
+        return client
+
+    def connect_and_request(self, request_id: bytes) -> socket.socket:
+        """Open a connection, and send a request on it."""
+        return self.connect(request_bytes(request_id=request_id))
+
+    async def wait_for_requests(self, count: int) -> None:
+        while len(self.dispatcher.request_ids) < count:
+            await asyncio.sleep(0.001)
+
+    async def read(self, client: socket.socket) -> bytes:
+        """Read up to the end of a response, or of the connection."""
+        received = b""
+        while not received.endswith(b"served"):
+            try:
+                data = await asyncio.get_running_loop().sock_recv(client, 4096)
+            except ConnectionResetError:
+                break
+            if not data:
+                break
+            received += data
+        return received
+
+    async def is_served(self, client: socket.socket) -> bool:
+        """Read a response, and return whether its status is 200."""
+        return (await self.read(client)).startswith(b"HTTP/1.1 200")
+
+    async def is_closed(self, client: socket.socket) -> bool:
+        """Return whether the connection ends without a response."""
+        return await self.read(client) == b""
+
+
+@async_test(limit_s=5)
+async def test_backlog_is_served_before_the_listener_closes() -> None:
+    running = RunningListener()
+    clients = [running.connect_and_request(b"id-%d" % i) for i in range(2 * MAX_ACCEPTS_PER_TURN + 3)]
+    assert running.listener.stop_accepting()  # the loop has had no turn: none is accepted yet
+    for client in clients:
+        assert await running.is_served(client)
+    with pytest.raises(ConnectionRefusedError):
+        running.connect()
+
+
+@async_test(limit_s=5)
+async def test_listener_stays_open_until_there_is_capacity_for_its_backlog() -> None:
+    running = RunningListener(descriptor_limit=4)  # two clients
+    clients = [running.connect_and_request(b"id-%d" % i) for i in range(4)]
+    assert not running.listener.stop_accepting()
+    while not running.listener.stop_accepting():
+        await asyncio.sleep(0.01)
+    await running.wait_for_requests(4)
+    for client in clients:
+        assert await running.is_served(client)
+
+
+@async_test(limit_s=5)
+async def test_shutdown_keeps_an_idle_connection_with_an_unread_request() -> None:
+    running = RunningListener()
+    active, idle = running.connect_and_request(b"a"), running.connect_and_request(b"b")
+    assert await running.read(active) and await running.read(idle)
+    active.sendall(request_bytes(request_id=b"c"))
+    running.dispatcher.draining = True
+    assert not running.listener.close_idle()
+    assert await running.is_served(active)
+    assert await running.is_closed(idle)
+    while not running.listener.close_idle():  # the response was the last one on its connection
+        await asyncio.sleep(0.001)
+    assert running.dispatcher.request_ids == [b"a", b"b", b"c"]
+
+
+@async_test(limit_s=5)
+async def test_shutdown_waits_for_the_first_request_of_a_new_connection() -> None:
+    running = RunningListener()
+    active, silent = running.connect(), running.connect()
+    while len(running.listener.connections) < 2:
+        await asyncio.sleep(0.001)
+    running.dispatcher.draining = True
+    assert not running.listener.close_idle()
+    active.sendall(request_bytes(request_id=b"a"))
+    assert await running.is_served(active)
+    while not running.listener.close_idle():
+        await asyncio.sleep(0.01)
+    assert await running.is_closed(silent)
+
+
+@async_test(limit_s=5)
+async def test_connection_with_an_unread_request_is_not_evicted() -> None:
+    running = RunningListener()
+    oldest, second = running.connect_and_request(b"a"), running.connect_and_request(b"b")
+    assert await running.read(oldest) and await running.read(second)
+    running.listener._max_connections = 2
+    oldest.sendall(request_bytes(request_id=b"c"))
+    assert running.listener._ensure_capacity()  # as for a third client
+    assert await running.is_served(oldest)
+    assert await running.is_closed(second)
+
+
+@async_test(limit_s=5)
+async def test_idle_timeout_spares_a_connection_with_an_unread_request() -> None:
+    running = RunningListener()
+    active, silent = running.connect_and_request(b"a"), running.connect_and_request(b"b")
+    assert await running.read(active) and await running.read(silent)
+    active.sendall(request_bytes(request_id=b"c"))
+    for connection in list(running.listener.connections):
+        connection.enforce_timeouts(running.listener.loop.time() + IDLE_TIMEOUT_S + 1)
+    assert await running.is_served(active)
+    assert await running.is_closed(silent)
+
+
+@async_test(limit_s=5)
+async def test_request_after_the_end_of_shutdown_is_rejected() -> None:
+    running = RunningListener()
+    running.dispatcher.draining = running.dispatcher.terminated = True
+    client = running.connect_and_request(b"late")
+    assert (await running.read(client)).startswith(b"HTTP/1.1 503") and not running.dispatcher.request_ids
--- a/tests/test_testbed_gateways.py
+++ b/tests/test_testbed_gateways.py
@@ -6,7 +6,7 @@
 
 import msgspec
 import pytest
-from support.http_fakes import LOOP
+from support.http_fakes import LOOPBACK
 from support.program import run_scenario
 
 from api_gateway.configuration import Configuration, parse
@@ -23,7 +23,7 @@
 
 
 def address(server: asyncio.Server) -> str:
-    return f"{LOOP}:{server.sockets[0].getsockname()[1]}"
+    return f"{LOOPBACK}:{server.sockets[0].getsockname()[1]}"
 
 
 def configurations(discovery: asyncio.Server, counter: asyncio.Server) -> list[Configuration]:
--- a/tests/test_testbed_servers.py
+++ b/tests/test_testbed_servers.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import msgspec
-from support.http_fakes import LOOP
+from support.http_fakes import LOOPBACK
 from support.program import run_scenario
 
 from api_gateway.model.endpoints import EndpointStatus
@@ -19,7 +19,7 @@
 
 async def send_pipelined(server: asyncio.Server, *requests: str) -> list[tuple[int, bytes]]:
     """Send all requests on one connection before any response, and return each status and body."""
-    reader, writer = await asyncio.open_connection(LOOP, server.sockets[0].getsockname()[1])
+    reader, writer = await asyncio.open_connection(LOOPBACK, server.sockets[0].getsockname()[1])
     for request in requests:
         writer.write(f"{request} HTTP/1.1\r\nContent-Length: 0\r\n\r\n".encode())
     responses = []
--- a/tests/test_upstream_pool.py
+++ b/tests/test_upstream_pool.py
@@ -12,7 +12,7 @@
     start_dispatcher,
     submit_with_held_connect,
 )
-from support.http_fakes import FakeServer, reply
+from support.http_fakes import FakeServer, response_bytes
 from support.program import run_scenario
 
 from api_gateway.model.actions import RejectRequest, StartAttempt
@@ -21,7 +21,7 @@
 
 
 def serve(seen: object) -> bytes:
-    return reply(b"served")
+    return response_bytes(b"served")
 
 
 def test_connection_that_breaks_right_after_the_connect_ends_as_not_sent(
@@ -56,13 +56,13 @@
         # Only the check at the write is left.
         monkeypatch.setattr(request.dispatcher._pool, "withdraw_pending_connects", lambda: None)
         await request.connects.started.wait()
-        await endpoint.until(lambda fake: fake.opened == 1)
+        await endpoint.wait_until(lambda fake: fake.opened == 1)
         request.connects.release.set()
         request.dispatcher._endpoints_updated(endpoint_list(endpoint, lifecycle))
         assert await request.client.statuses.get() == 503
         assert request.decisions.attempt_results() == [AttemptResult.WITHDRAWN]
-        await endpoint.until(lambda fake: fake.closed == 1)
-        assert not [seen for seen in endpoint.seen if "/api/" in seen.line]
+        await endpoint.wait_until(lambda fake: fake.closed == 1)
+        assert not [request for request in endpoint.received if "/api/" in request.start_line]
         endpoint.stop()
 
     run_scenario(scenario, 3)
@@ -116,13 +116,13 @@
         endpoint = FakeServer(serve)
         request = await submit_with_held_connect(monkeypatch, endpoint, then=None)
         dispatcher, decisions = request.dispatcher, request.decisions
-        await endpoint.until(lambda fake: fake.opened == 1)
+        await endpoint.wait_until(lambda fake: fake.opened == 1)
         request.client.disconnected = True
         if reported:
             dispatcher.client_disconnected(request.request_id)
         request.connects.release.set()
-        await endpoint.until(lambda fake: fake.closed == 1)
-        assert not endpoint.seen and request.client.statuses.empty()
+        await endpoint.wait_until(lambda fake: fake.closed == 1)
+        assert not endpoint.received and request.client.statuses.empty()
         assert decisions.attempt_results() == [AttemptResult.WITHDRAWN]
         assert decisions.events[-1].is_final
         assert ClientDisconnected(request.request_id) in decisions.events
