--- a/api_gateway/network/downstream/connection.py
+++ b/api_gateway/network/downstream/connection.py
@@ -22,6 +22,8 @@
 if TYPE_CHECKING:
     from api_gateway.network.downstream.listener import Listener
 
+READY_PATH = b"/ready"
+API_PATH_PREFIX = b"/api/"
 MAX_REQUEST_WIRE_BYTES = MAX_HEADER_BYTES + 2 * MAX_BODY_BYTES  # with the chunk lines of the body
 MAX_PIPELINED_REQUESTS = 16  # that wait behind the one in flight
 MAX_LINGER_BYTES = 1024 * 1024
@@ -46,7 +48,7 @@
         transport: The transport, once connected.
         has_responded: Whether at least one response has been written.
         waiting_since_s: Loop time at which the connection was opened, its last response was written, or the
-            request that is being read began.
+            request that is being read began, whichever came last.
     """
 
     def __init__(self, listener: Listener) -> None:
@@ -213,9 +215,9 @@
 
     def _route(self, request: ParsedRequest) -> None:
         path = request.path
-        if path == b"/ready" and request.method == b"GET":
+        if path == READY_PATH and request.method == b"GET":
             self.respond(200 if self._dispatcher.is_ready() else 503)
-        elif not path.startswith(b"/api/"):
+        elif not path.startswith(API_PATH_PREFIX):
             raise BadRequestError("path", 404)
         elif self._dispatcher.ended:
             self.respond(503)
