--- a/api_gateway/__main__.py
+++ b/api_gateway/__main__.py
@@ -4,7 +4,6 @@
 
 import asyncio
 import gc
-import logging
 import os
 import signal
 import sys
@@ -13,14 +12,12 @@
 
 from api_gateway.configuration import Configuration, load
 from api_gateway.errors import ConfigurationError
-from api_gateway.logs import configure_logging
+from api_gateway.logs import configure_logging, lifecycle_log
 from api_gateway.network.address import Address
 from api_gateway.network.dispatcher import Dispatcher
 from api_gateway.network.downstream.listener import Listener
 from api_gateway.shutdown import GracefulShutdown
 
-log = logging.getLogger(__name__)
-
 EXIT_OK = 0
 EXIT_CANNOT_START = 2
 GC_THRESHOLD = 20_000  # allocations; requests leave next to no cycles, so the collector can run seldom
@@ -78,7 +75,7 @@
     dispatcher.start()
     await dispatcher.endpoints_known.wait()  # clients are accepted once endpoints are known
     host, port = listener.start(address)
-    log.info("listening on %s:%d", host, port)
+    lifecycle_log.info("listening on %s:%d", host, port)
     gc.freeze()
     gc.set_threshold(GC_THRESHOLD)
 
@@ -87,10 +84,10 @@
     try:
         config = load(os.environ, is_reload=True)
     except ConfigurationError as error:
-        log.error('reload_failed configuration=kept error="%s"', error)
+        lifecycle_log.error('reload_failed configuration=kept error="%s"', error)
         return
     dispatcher.reload(config)
-    log.info("reloaded discovery=%s:%d", *config.discovery)
+    lifecycle_log.info("reloaded discovery=%s:%d", *config.discovery)
 
 
 def _shut_down(dispatcher: Dispatcher) -> None:
--- a/api_gateway/logs.py
+++ b/api_gateway/logs.py
@@ -11,9 +11,14 @@
 
 MAX_LINES_PER_S = 20
 
+lifecycle_log = logging.getLogger("api_gateway.lifecycle")  # start-up, reload and shutdown: never dropped
+
 
 class RateLimitFilter(logging.Filter):
-    """Drops lines beyond a rate, and writes how many were dropped when the next second has a line."""
+    """Drops lines beyond a rate, and writes how many were dropped when the next second has a line.
+
+    Lines of `lifecycle_log` are few, and whoever starts a gateway waits for them: they are not limited.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -26,6 +31,8 @@
         Args:
             record: The record of the line.
         """
+        if record.name == lifecycle_log.name:
+            return True
         second = int(time.monotonic())
         if second != self._second:
             self._start_second(second)
--- a/api_gateway/shutdown.py
+++ b/api_gateway/shutdown.py
@@ -15,13 +15,11 @@
 from __future__ import annotations
 
 import asyncio
-import logging
 
+from api_gateway.logs import lifecycle_log
 from api_gateway.network.dispatcher import Dispatcher
 from api_gateway.network.downstream.listener import Listener
 
-log = logging.getLogger(__name__)
-
 ACCEPT_GRACE_S = 0.5  # clients may connect for 0.4 s after the signal
 CHECK_INTERVAL_S = 0.02
 MAX_DRAIN_S = 3.0
@@ -47,7 +45,7 @@
         """Start the shutdown, unless it has started already."""
         if self._dispatcher.draining:
             return
-        log.info("draining timeout_s=%.1f", self._drain_timeout_s)
+        lifecycle_log.info("draining timeout_s=%.1f", self._drain_timeout_s)
         self._dispatcher.draining = True
         self._loop.call_later(ACCEPT_GRACE_S, self._close_connections)
         self._loop.call_later(self._drain_timeout_s, self._fail_pending_requests)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -37,3 +37,13 @@
     now = 101.0
     assert rate_limit.filter(record())
     assert capsys.readouterr().err == ""
+
+
+def test_lines_of_the_life_cycle_are_never_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(logs.time, "monotonic", lambda: 100.0)
+    rate_limit = logs.RateLimitFilter()
+    for _ in range(logs.MAX_LINES_PER_S + 3):
+        rate_limit.filter(record())
+    assert not rate_limit.filter(record())
+    name = logs.lifecycle_log.name
+    assert rate_limit.filter(logging.LogRecord(name, logging.INFO, "file", 1, "listening", None, None))
