--- a/api_gateway/network/counter_codec.py
+++ b/api_gateway/network/counter_codec.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from api_gateway.model.actions import IncrementCounter
-from api_gateway.network.response_parser import Response, number
+from api_gateway.network.response_parser import Response, parse_decimal
 
 STATUSES_WITHOUT_INCREMENT = frozenset((400, 404, 503))  # the counter has added nothing
 
@@ -19,9 +19,9 @@
 
 def decode_total(response: Response) -> float | None:
     """Return the total of the count after the increment; None if the response has none."""
-    return number(response.body.strip()) if response.status == 200 else None
+    return parse_decimal(response.body.strip()) if response.status == 200 else None
 
 
 def _decimal(amount: float) -> str:
-    """Return a number without an exponent, which the counter does not accept."""
+    """Return a parse_decimal without an exponent, which the counter does not accept."""
     return f"{amount:.6f}".rstrip("0").rstrip(".")
--- a/api_gateway/network/counter_connection.py
+++ b/api_gateway/network/counter_connection.py
@@ -137,7 +137,7 @@
         if self._connecting is not None:
             self._connecting.cancel()
         if self._protocol is not None:
-            self._protocol.drop()
+            self._protocol.abort()
 
     def retire(self) -> list[CounterCall]:
         """Close the connection for good once the calls that were written are answered.
@@ -157,7 +157,7 @@
 
     def give_up(self) -> None:
         """Close a connection that has become silent, and replace it."""
-        self._protocol.drop()
+        self._protocol.abort()
         self._fail_calls(CounterResult.CONNECTION_LOST)
 
     # --- Events of the protocol ----------------------------------------------------------------------------
@@ -175,7 +175,7 @@
         self._connect_timer.cancel()
         self._protocol = protocol
         if self._is_retired:
-            self._protocol.drop()
+            self._protocol.abort()
             return
         # A call that timed out before it was written was reported as not added, and must not be written now.
         self._calls = deque(call for call in self._calls if not call.is_done)
@@ -203,7 +203,7 @@
             return
         call = self._calls.popleft()
         if not reusable or (self._is_retired and not self._calls):
-            self._protocol.drop()  # before the result is reported, which may lead to the next call
+            self._protocol.abort()  # before the result is reported, which may lead to the next call
         self._report_response(call, total)
 
     def _report_response(self, call: CounterCall, total: float | None) -> None:
@@ -218,7 +218,7 @@
     def handle_malformed_response(self) -> None:
         """Close the connection: no response behind a malformed one can be matched to its call."""
         log.warning("counter_response_malformed connection=closed")
-        self._protocol.drop()
+        self._protocol.abort()
         self._fail_calls(CounterResult.MALFORMED_RESPONSE)
 
     def handle_disconnect(self) -> None:
@@ -242,7 +242,7 @@
         if left_s > 0:
             self._silence_timer = self._loop.call_later(left_s, self._check_silence)
         else:
-            self._protocol.drop()
+            self._protocol.abort()
 
     def _on_connect_done(self, task: asyncio.Task) -> None:
         has_failed = task.cancelled() or task.exception() is not None
--- a/api_gateway/network/discovery.py
+++ b/api_gateway/network/discovery.py
@@ -16,7 +16,7 @@
     parse_endpoint_list,
 )
 from api_gateway.network.discovery_policy import PollPolicy
-from api_gateway.network.response_parser import LONGEST_LIST, Response, ResponseProtocol
+from api_gateway.network.response_parser import MAX_ENDPOINT_LIST_BYTES, Response, ResponseProtocol
 
 __all__ = ["DiscoveryWatch", "EndpointList", "parse_endpoint_list"]
 
@@ -92,7 +92,7 @@
         if self._connecting is not None:
             self._connecting.cancel()
         if self._connection is not None:
-            self._connection.drop()
+            self._connection.abort()
 
     def change_address(self, address: Address) -> None:
         """Poll another discovery, from its full list on; what is known is kept until that has arrived.
@@ -107,7 +107,7 @@
         if connecting is not None:
             connecting.cancel()
         if connection is not None:
-            connection.drop()
+            connection.abort()
         self._address = address
         self._generation = None
         self._failures = 0
@@ -137,7 +137,7 @@
         has_failed = task.cancelled() or task.exception() is not None
         if task is not self._connecting:  # the address has changed meanwhile
             if not has_failed:
-                task.result()[1].drop()
+                task.result()[1].abort()
             return
         self._connecting = None
         if has_failed:
@@ -174,7 +174,7 @@
         except MalformedEndpointListError as error:
             log.warning('discovery_response_malformed error="%s" endpoints=kept', error)
             self._generation = None  # the full list brings whatever was missed
-            connection.drop()
+            connection.abort()
             return
         self._generation = endpoint_list.generation
         self._is_up_to_date = True
@@ -182,7 +182,7 @@
         self._failures = self._rejections = 0
         if not reusable:
             self._connection = None
-            connection.drop()
+            connection.abort()
         self._poll()  # before the update is handled, which takes time
         self._on_update(endpoint_list)
 
@@ -190,7 +190,7 @@
         # The generation stays known: full lists would cost a discovery that is overloaded the most.
         log.warning("discovery_poll_rejected status=%d endpoints=kept", status)
         self._rejections += 1
-        connection.drop()
+        connection.abort()
 
     def _decode(self, body: bytes) -> EndpointList:
         endpoint_list = decode_endpoint_list(body)
@@ -229,7 +229,7 @@
         """Whether more of a full list has arrived since this was checked last."""
         if self._connection is None or self._generation is not None:
             return False
-        previous_bytes, self._received_bytes = self._received_bytes, self._connection.taken()
+        previous_bytes, self._received_bytes = self._received_bytes, self._connection.received_bytes()
         deadline = self._poll_started_at + self._policy.full_list_timeout_s()
         return self._received_bytes > previous_bytes and self._loop.time() < deadline
 
@@ -241,7 +241,7 @@
         if self._connecting is not None:
             self._connecting.cancel()
         elif self._connection is not None:
-            self._connection.drop()
+            self._connection.abort()
 
     def _back_off(self) -> None:
         self._cancel_timer()
@@ -273,7 +273,7 @@
     """
 
     def __init__(self, watch: DiscoveryWatch) -> None:
-        super().__init__(LONGEST_LIST)
+        super().__init__(MAX_ENDPOINT_LIST_BYTES)
         self._watch = watch
         self.closed = False
 
--- a/api_gateway/network/downstream/request_parsing.py
+++ b/api_gateway/network/downstream/request_parsing.py
@@ -6,6 +6,7 @@
 from functools import lru_cache
 from typing import NamedTuple
 
+from api_gateway.errors import GatewayError
 from api_gateway.model.settings import Idempotency, RequestClass, Settings
 from api_gateway.network.dispatcher import InboundRequest
 
@@ -48,7 +49,7 @@
 _QUOTA_INFO_CACHE_SIZE = 1024
 
 
-class BadRequestError(ValueError):
+class BadRequestError(GatewayError, ValueError):
     """A request that is rejected, with its connection closed after the response.
 
     Attributes:
--- a/api_gateway/network/response_parser.py
+++ b/api_gateway/network/response_parser.py
@@ -12,18 +12,20 @@
 
 import httptools
 
-LONGEST_BODY = 64 * 1024
-LONGEST_LIST = 4 * 1024 * 1024
+from api_gateway.errors import GatewayError
+
+MAX_BODY_BYTES = 64 * 1024
+MAX_ENDPOINT_LIST_BYTES = 4 * 1024 * 1024
 MAX_FRAMING_BYTES = 64 * 1024  # heads, interim responses and chunk lines of one response
 STATUSES_WITHOUT_BODY = frozenset((204, 304))
 DECIMAL = re.compile(rb"-?[0-9]{1,15}(?:\.[0-9]{1,15})?(?:[eE][+-]?[0-9]{1,2})?")
 
 
-class MalformedResponseError(Exception):
+class MalformedResponseError(GatewayError):
     """A response whose end is not certain, or that is longer than may be passed on."""
 
 
-def number(text: bytes) -> float | None:
+def parse_decimal(text: bytes) -> float | None:
     """Parse a decimal number; unlike `float`, accept no form such as `1_0`, `nan` or ` 1`.
 
     Returns:
@@ -58,7 +60,7 @@
         Returns:
             The number; 0 if the header is missing, malformed, negative or above the maximum.
         """
-        value = number(self.headers.get(name, b""))
+        value = parse_decimal(self.headers.get(name, b""))
         return value if value is not None and 0 < value <= maximum else 0.0
 
 
@@ -72,7 +74,7 @@
         unsent: Whether part of what was written has not left this process.
     """
 
-    def __init__(self, max_body_bytes: int = LONGEST_BODY) -> None:
+    def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
         self.transport: asyncio.Transport | None = None
         self.unsent = False
         self._parser = httptools.HttpResponseParser(self)
@@ -115,7 +117,7 @@
         self.transport.write(data)
         self.unsent = self.transport.get_write_buffer_size() > 0
 
-    def drop(self) -> None:
+    def abort(self) -> None:
         """Close the connection at once, with what is unsent."""
         if self.transport is not None:
             self.transport.abort()
@@ -124,7 +126,7 @@
         """Whether any byte of the expected response has been received."""
         return self._received_bytes > 0
 
-    def taken(self) -> int:
+    def received_bytes(self) -> int:
         """Return how many bytes of the expected response have been received."""
         return self._received_bytes
 
@@ -156,7 +158,7 @@
         if not valid:
             if self._expected:
                 self.malformed_response()
-            self.drop()
+            self.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Report the end of the connection."""
--- a/api_gateway/network/upstream/attempt.py
+++ b/api_gateway/network/upstream/attempt.py
@@ -71,7 +71,7 @@
             self.connect_task.cancel()
         if self.connection is not None:
             self.connection.attempt = None
-            self.connection.drop()
+            self.connection.abort()
 
     def cancel_timers(self) -> None:
         """Cancel the timers of its response and its write; the connect timer ends with the connect."""
--- a/api_gateway/network/upstream/endpoint.py
+++ b/api_gateway/network/upstream/endpoint.py
@@ -48,10 +48,10 @@
     def retire_idle(self, idle_before: float) -> None:
         """Close the connections that became idle before an event-loop time in s."""
         while self.idle and self.idle[0].idle_since < idle_before:
-            self.idle.pop(0).drop()
+            self.idle.pop(0).abort()
 
     def close_idle(self) -> None:
         """Close all idle connections."""
         idle, self.idle = self.idle, []
         for connection in idle:
-            connection.drop()
+            connection.abort()
--- a/api_gateway/network/upstream/pool.py
+++ b/api_gateway/network/upstream/pool.py
@@ -62,7 +62,7 @@
         """Close all connections."""
         self._stopped = True
         for connection in list(self._connections):
-            connection.drop()
+            connection.abort()
 
     # --- Endpoints ----------------------------------------------------------------------------------------
 
@@ -213,7 +213,7 @@
             return True
         with_idle = [endpoint for endpoint in self._endpoints.values() if endpoint.idle]
         if with_idle:
-            min(with_idle, key=lambda endpoint: endpoint.idle[0].idle_since).idle.pop(0).drop()
+            min(with_idle, key=lambda endpoint: endpoint.idle[0].idle_since).idle.pop(0).abort()
         return bool(with_idle)
 
     def _connect_ended(self, attempt: Attempt, task: asyncio.Task) -> None:
@@ -232,9 +232,9 @@
         self, attempt: Attempt, endpoint: UpstreamEndpoint, connection: UpstreamConnection
     ) -> None:
         if attempt.done or self._stopped:
-            connection.drop()
+            connection.abort()
         elif not self._may_still_be_sent(attempt, endpoint):
-            connection.drop()
+            connection.abort()
             self._end(attempt, AttemptResult.WITHDRAWN)
         elif connection.transport.is_closing():  # it broke between the connect and this callback
             self._end(attempt, AttemptResult.NOT_SENT)
@@ -299,7 +299,7 @@
             connection.idle_since = self._loop.time()
             endpoint.idle.append(connection)
         else:
-            connection.drop()
+            connection.abort()
 
     def _retire_idle_connections(self) -> None:
         # A request written while the endpoint closes its side would end in a reset and may have run.
--- a/tests/test_acceptance_discovery.py
+++ b/tests/test_acceptance_discovery.py
@@ -75,7 +75,7 @@
     def write(self, data: bytes) -> None:
         self.simulation.request_written(self, data.decode().split()[1])
 
-    def drop(self) -> None:
+    def abort(self) -> None:
         self.simulation.call_later(0, self.end)
 
     def end(self) -> None:
@@ -83,7 +83,7 @@
             self.closed = True
             self.simulation.watch.handle_disconnect(self)
 
-    def taken(self) -> int:
+    def received_bytes(self) -> int:
         return 0
 
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -59,7 +59,7 @@
     def write(self, data: bytes) -> None:
         self.polls.append(data.decode().split()[1])
 
-    def drop(self) -> None:
+    def abort(self) -> None:
         self.dropped = True
 
 
@@ -283,7 +283,7 @@
     create_watch(loop, known_generation=None).start()
     connection = loop.complete_connect()
     received_bytes = iter([1000, 2000, 3000])
-    connection.taken = lambda: next(received_bytes, 3000)
+    connection.received_bytes = lambda: next(received_bytes, 3000)
     started_at = loop.now
     while not connection.dropped:
         loop.fire()
@@ -295,7 +295,7 @@
     loop = FakeLoop()
     create_watch(loop, known_generation=None).start()
     connection = loop.complete_connect()
-    connection.taken = lambda: int(1000 * loop.now) + 1
+    connection.received_bytes = lambda: int(1000 * loop.now) + 1
     while not connection.dropped:
         loop.fire()
     assert FULL_LIST_TIMEOUT_S <= loop.now < FULL_LIST_TIMEOUT_S + 2 * PROGRESS_TIMEOUT_S
