--- a/tests/support/gateway_driver.py
+++ b/tests/support/gateway_driver.py
@@ -159,3 +159,28 @@
             driver.give(CounterReply(action.name, CounterResult.OK, driver.totals[action.name]))
         sent += any(isinstance(a, StartAttempt) and a.request_id == request_id for _, a in driver.log)
     return sent
+
+
+def ask_with_totals(
+    driver: GatewayDriver, units: float, total: float, after: float = 0.0, before: float = 0.0
+) -> list[Action]:
+    """Send a request and answer its counter calls.
+
+    Args:
+        driver: The gateway.
+        units: Units of the request.
+        total: Total of this window's count.
+        after: Milliseconds before the request.
+        before: Total of the last window's count.
+
+    Returns:
+        All actions.
+    """
+    _, actions = driver.ask(plan="basic", units=units, after=after, gateway_count=20)
+    actions = list(actions)
+    count = next(a for a in actions if isinstance(a, IncrementCounter))
+    actions += driver.give(CounterReply(count.name, CounterResult.OK, total), 2)
+    last = actions[-1]
+    if isinstance(last, IncrementCounter) and last.name != count.name and last.amount == 0:
+        actions += driver.give(CounterReply(last.name, CounterResult.OK, before), 2)
+    return actions
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -23,9 +23,11 @@
 from api_gateway.model.actions import StartAttempt
 
 
-def trickle(driver: GatewayDriver, duration_ms: list[float], out: int, rounds: int = 120) -> float:
-    """Return the fraction after `out` requests at a time, each answered after `duration_ms` of 1 s."""
-    waiting = [driver.ask()[0] for _ in range(out)]
+def fraction_under_steady_load(
+    driver: GatewayDriver, duration_ms: list[float], in_flight: int, rounds: int = 120
+) -> float:
+    """Return the fraction after `in_flight` requests at a time, each answered after `duration_ms` of 1 s."""
+    waiting = [driver.ask()[0] for _ in range(in_flight)]
     for n in range(rounds):
         driver.sweep(1)
         driver.end(waiting.pop(0), duration_ms=duration_ms[n % len(duration_ms)])
@@ -41,10 +43,10 @@
     return driver.gateway.admission.fraction
 
 
-def known(servers: int) -> GatewayDriver:
+def driver_with_learned_baseline(endpoints: int) -> GatewayDriver:
     """A gateway that knows the latency of idle endpoints."""
-    driver = GatewayDriver(endpoints=servers)
-    trickle(driver, [60.0], 2, rounds=40)
+    driver = GatewayDriver(endpoints=endpoints)
+    fraction_under_steady_load(driver, [60.0], 2, rounds=40)
     return driver
 
 
@@ -84,16 +86,18 @@
     q = (MIN_SHED_OCCUPANCY + MAX_SHED_OCCUPANCY) / 2
     assert admitted_fraction(q) == 0.5 and admitted_fraction(q, MAX_RAMP_OFFSET) == 1.0
     assert admitted_fraction(1.0, MAX_RAMP_OFFSET) == MIN_ADMITTED_FRACTION, (
-        "a full back end is shed for whatever the lift"
+        "a full back end is shed for whatever the offset"
     )
 
 
 def test_chance_queues_on_many_endpoints_shed_nothing_but_overload_does() -> None:
-    assert trickle(known(60), [420.0], 2) > 0.95
-    assert trickle(GatewayDriver(endpoints=60), [420.0], 2) > 0.95, "from the start"
-    assert trickle(known(2), [420.0], 2) < 0.9, "the same latency where the gateway sees their load"
-    assert trickle(known(60), [900.0], 2) < 0.6
-    assert trickle(GatewayDriver(endpoints=60), [900.0], 2) < 0.6, "from the start"
+    assert fraction_under_steady_load(driver_with_learned_baseline(60), [420.0], 2) > 0.95
+    assert fraction_under_steady_load(GatewayDriver(endpoints=60), [420.0], 2) > 0.95, "from the start"
+    assert fraction_under_steady_load(driver_with_learned_baseline(2), [420.0], 2) < 0.9, (
+        "the same latency where the gateway sees their load"
+    )
+    assert fraction_under_steady_load(driver_with_learned_baseline(60), [900.0], 2) < 0.6
+    assert fraction_under_steady_load(GatewayDriver(endpoints=60), [900.0], 2) < 0.6, "from the start"
 
 
 def test_one_slow_answer_among_fast_ones_sheds_nothing() -> None:
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -16,19 +16,19 @@
 from api_gateway.model.results import AttemptResult
 
 
-def dead(driver: GatewayDriver, names: set[str], requests: int, every: float) -> int:
+def connects_to_unreachable(driver: GatewayDriver, names: set[str], requests: int, every: float) -> int:
     """Send requests at a steady rate while some endpoints cannot be reached; return the connects to them."""
-    dials = 0
+    connects = 0
     for _ in range(requests):
         request_id, actions = driver.ask(after=every)
         while sends := [a for a in actions if isinstance(a, StartAttempt)]:
             if sends[-1].endpoint in names:
-                dials += 1
+                connects += 1
                 actions = driver.end(request_id, AttemptResult.CONNECT_FAILED, duration_ms=250, after=250)
             else:
                 actions = driver.end(request_id, duration_ms=50)
         driver.sweep(1, every=1)
-    return dials
+    return connects
 
 
 @pytest.mark.parametrize(
@@ -72,11 +72,11 @@
 def test_probes_of_a_lost_zone_are_a_small_part_of_the_attempts() -> None:
     driver = GatewayDriver(endpoints=60)
     names = {f"h{i}" for i in range(24)}
-    dead(driver, names, 400, 80)  # until they are ejected
-    assert dead(driver, names, 200, 80) <= PROBES_PER_REQUEST * 200 + MAX_SAVED_PROBES
+    connects_to_unreachable(driver, names, 400, 80)  # until they are ejected
+    assert connects_to_unreachable(driver, names, 200, 80) <= PROBES_PER_REQUEST * 200 + MAX_SAVED_PROBES
 
 
 def test_a_single_ejected_endpoint_is_probed_soon() -> None:
     driver = GatewayDriver(endpoints=4)
-    dead(driver, {"h0"}, 40, 80)
-    assert dead(driver, {"h0"}, 100, 80) >= 2
+    connects_to_unreachable(driver, {"h0"}, 40, 80)
+    assert connects_to_unreachable(driver, {"h0"}, 100, 80) >= 2
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -7,6 +7,7 @@
     PLAN,
     GatewayDriver,
     actions_of_type,
+    ask_with_totals,
     drive,
 )
 
@@ -14,7 +15,7 @@
     quota,
 )
 from api_gateway.decisions.quota import window_length_ms
-from api_gateway.model.actions import Action, IncrementCounter, StartAttempt
+from api_gateway.model.actions import IncrementCounter, StartAttempt
 from api_gateway.model.events import (
     CounterReply,
     RequestReceived,
@@ -23,21 +24,7 @@
 from api_gateway.model.results import CounterResult
 
 
-def counted(
-    driver: GatewayDriver, units: float, total: float, after: float = 0.0, before: float = 0.0
-) -> list[Action]:
-    """A request and the reply to its count; all that they lead to. `before`: the last window's total."""
-    _, actions = driver.ask(plan="basic", units=units, after=after, gateway_count=20)
-    actions = list(actions)
-    count = next(a for a in actions if isinstance(a, IncrementCounter))
-    actions += driver.give(CounterReply(count.name, CounterResult.OK, total), 2)
-    last = actions[-1]
-    if isinstance(last, IncrementCounter) and last.name != count.name and last.amount == 0:
-        actions += driver.give(CounterReply(last.name, CounterResult.OK, before), 2)
-    return actions
-
-
-def first_sight(total: float) -> float:
+def remaining_after_first_total(total: float) -> float:
     """What a gateway takes to be left (of 6, 2 a second) at the first total, 5 s into a window of 6."""
     driver = GatewayDriver(endpoints=60, fleet_size=40, now=1e6)
     driver.sweep(80)
@@ -47,7 +34,7 @@
     end = (tenant.quota.window + 1 - tenant._window_phase) * window_length_ms(tenant.plan)
     driver.gateway.tenants.clear()
     driver.now = end - 1000
-    counted(driver, 1, total)
+    ask_with_totals(driver, 1, total)
     return next(iter(driver.gateway.tenants.values())).quota.remaining
 
 
@@ -119,19 +106,21 @@
 def test_one_request_of_another_gateway_in_the_first_total_is_no_high_rate() -> None:
     driver = GatewayDriver(endpoints=60, fleet_size=40, now=1e6)
     driver.sweep(80)
-    assert any(isinstance(a, StartAttempt) for a in counted(driver, 1, 3))
+    assert any(isinstance(a, StartAttempt) for a in ask_with_totals(driver, 1, 3))
     tenant = next(iter(driver.gateway.tenants.values()))
     assert tenant.quota.peer_usage_rate * 1000 <= 2.0, (
         "two units of the others in a window that is not that new"
     )
     length = window_length_ms(tenant.plan)
     start = (tenant.quota.window + 1 - tenant._window_phase) * length  # of the next window
-    actions = counted(driver, 1, 1, after=start + 50 - driver.now, before=3)
+    actions = ask_with_totals(driver, 1, 1, after=start + 50 - driver.now, before=3)
     assert any(isinstance(a, StartAttempt) for a in actions), "3 of 6 units used: its bucket is not empty"
 
 
 def test_what_is_left_follows_from_the_first_total() -> None:
     """The total holds what was owed at the window's start: 6 + 2 x 5 s less that is left, 6 at most."""
-    assert first_sight(7) == pytest.approx(5.0), "7 units in 5 s at 2 a second: it has refilled, but for ours"
-    assert first_sight(13) == pytest.approx(3.0, abs=0.1)
-    assert first_sight(17) < 1, "what refilled is gone"
+    assert remaining_after_first_total(7) == pytest.approx(5.0), (
+        "7 units in 5 s at 2 a second: it has refilled, but for ours"
+    )
+    assert remaining_after_first_total(13) == pytest.approx(3.0, abs=0.1)
+    assert remaining_after_first_total(17) < 1, "what refilled is gone"
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -13,7 +13,6 @@
 from api_gateway.decisions import (
     retry,
 )
-from api_gateway.decisions.ring import Ring
 from api_gateway.model.actions import StartAttempt
 from api_gateway.model.endpoints import UpdateKind
 from api_gateway.model.events import (
@@ -24,10 +23,6 @@
 from api_gateway.model.settings import Idempotency, KeyScope, RequestClass
 
 
-def first(it: Ring, start: float, count: int) -> list[str]:
-    return [name for name, _ in zip(it.walk(start), range(count), strict=False)]
-
-
 def test_keyed_requests_are_repeated_only_within_window_and_scope() -> None:
     driver = GatewayDriver(endpoints=4)
     driver.give(RequestReceived("k", "put", "open", "c", 4000.0))
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -13,36 +13,16 @@
 
 from api_gateway.decisions.gateway import Gateway
 from api_gateway.decisions.retry import RetryPolicy
-from api_gateway.decisions.ring import Ring
 from api_gateway.decisions.subset import MAX_CANDIDATES
-from api_gateway.model.actions import Action, IncrementCounter, StartAttempt
+from api_gateway.model.actions import StartAttempt
 from api_gateway.model.endpoints import UpdateKind
 from api_gateway.model.events import (
     AttemptEnded,
-    CounterReply,
     EndpointUpdate,
     RequestReceived,
     TimerFired,
 )
-from api_gateway.model.results import AttemptResult, CounterResult
-
-
-def counted(
-    driver: GatewayDriver, units: float, total: float, after: float = 0.0, before: float = 0.0
-) -> list[Action]:
-    """A request and the reply to its count; all that they lead to. `before`: the last window's total."""
-    _, actions = driver.ask(plan="basic", units=units, after=after, gateway_count=20)
-    actions = list(actions)
-    count = next(a for a in actions if isinstance(a, IncrementCounter))
-    actions += driver.give(CounterReply(count.name, CounterResult.OK, total), 2)
-    last = actions[-1]
-    if isinstance(last, IncrementCounter) and last.name != count.name and last.amount == 0:
-        actions += driver.give(CounterReply(last.name, CounterResult.OK, before), 2)
-    return actions
-
-
-def first(it: Ring, start: float, count: int) -> list[str]:
-    return [name for name, _ in zip(it.walk(start), range(count), strict=False)]
+from api_gateway.model.results import AttemptResult
 
 
 def test_sparse_traffic_keeps_to_idle_connections() -> None:
--- a/tests/test_usage_reporting.py
+++ b/tests/test_usage_reporting.py
@@ -10,13 +10,13 @@
     PLAN,
     GatewayDriver,
     actions_of_type,
+    ask_with_totals,
     calls_of,
     drive,
 )
 
 from api_gateway.decisions.quota import window_length_ms
-from api_gateway.decisions.ring import Ring
-from api_gateway.model.actions import Action, IncrementCounter, RejectRequest, StartAttempt
+from api_gateway.model.actions import IncrementCounter, RejectRequest, StartAttempt
 from api_gateway.model.events import (
     CounterReply,
     RequestReceived,
@@ -24,24 +24,6 @@
 from api_gateway.model.results import CounterResult
 
 
-def counted(
-    driver: GatewayDriver, units: float, total: float, after: float = 0.0, before: float = 0.0
-) -> list[Action]:
-    """A request and the reply to its count; all that they lead to. `before`: the last window's total."""
-    _, actions = driver.ask(plan="basic", units=units, after=after, gateway_count=20)
-    actions = list(actions)
-    count = next(a for a in actions if isinstance(a, IncrementCounter))
-    actions += driver.give(CounterReply(count.name, CounterResult.OK, total), 2)
-    last = actions[-1]
-    if isinstance(last, IncrementCounter) and last.name != count.name and last.amount == 0:
-        actions += driver.give(CounterReply(last.name, CounterResult.OK, before), 2)
-    return actions
-
-
-def first(it: Ring, start: float, count: int) -> list[str]:
-    return [name for name, _ in zip(it.walk(start), range(count), strict=False)]
-
-
 def test_near_the_limit_a_request_waits_for_the_total_and_is_answered() -> None:
     driver = GatewayDriver()
     drive(driver, 5, plan="basic")
@@ -105,10 +87,10 @@
 def test_the_first_report_of_a_window_carries_over_the_debt_of_the_last(before: float, sent: bool) -> None:
     driver = GatewayDriver(endpoints=60, fleet_size=40, now=1e6)
     driver.sweep(80)
-    counted(driver, 1, 3)
+    ask_with_totals(driver, 1, 3)
     tenant = next(iter(driver.gateway.tenants.values()))
     start = (tenant.quota.window + 1 - tenant._window_phase) * window_length_ms(tenant.plan)
-    actions = counted(driver, 1, 1, after=start + 50 - driver.now, before=before)
+    actions = ask_with_totals(driver, 1, 1, after=start + 50 - driver.now, before=before)
     amounts = [a.amount for a in actions if isinstance(a, IncrementCounter)]
     assert amounts[:2] == [1, 0], "its own unit, then a look at the last window's count"
     assert sum(amounts) == pytest.approx(min(before - 12, 6)), "12 refilled; its own is taken off"
