--- a/api_gateway/settings_codec.py
+++ b/api_gateway/settings_codec.py
@@ -10,8 +10,7 @@
 import math
 import re
 from collections.abc import Callable, Iterator, Mapping
-from dataclasses import dataclass
-from typing import Any, TypeVar
+from typing import Any, NamedTuple, TypeVar
 
 from api_gateway.errors import InvalidSettingError, MalformedSettingError
 from api_gateway.model.settings import Idempotency, KeyScope, Plan, RequestClass, Settings
@@ -19,8 +18,7 @@
 Entry = TypeVar("Entry")
 
 
-@dataclass(slots=True, frozen=True)
-class SettingKey:
+class SettingKey(NamedTuple):
     """One row of a translation table.
 
     Attributes:
@@ -36,8 +34,7 @@
     default: Any
 
 
-@dataclass(slots=True, frozen=True)
-class TransportSettings:
+class TransportSettings(NamedTuple):
     """Settings that concern connections alone, and not the decisions.
 
     Attributes:
--- a/api_gateway/simulator/codec.py
+++ b/api_gateway/simulator/codec.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from api_gateway.errors import MalformedLineError, MalformedSettingError
 from api_gateway.model.endpoints import Endpoint, UpdateKind
@@ -39,8 +39,7 @@
 RETRY_FLAG = 2  # bit of a request's flags
 
 
-@dataclass(slots=True, frozen=True)
-class OpenInstance:
+class OpenInstance(NamedTuple):
     """A new instance of the gateway starts.
 
     Attributes:
@@ -52,13 +51,11 @@
     settings: Settings
 
 
-@dataclass(slots=True, frozen=True)
 class CloseInstance:
     """An instance was killed."""
 
 
-@dataclass(slots=True, frozen=True)
-class CatalogUpdate:
+class CatalogUpdate(NamedTuple):
     """An update of the endpoint list that refers to a catalog.
 
     Attributes:
@@ -70,8 +67,7 @@
     catalog: int | None
 
 
-@dataclass(slots=True, frozen=True)
-class CatalogHeader:
+class CatalogHeader(NamedTuple):
     """The line before the entries of a catalog.
 
     Attributes:
@@ -189,8 +185,7 @@
     return CatalogUpdate(kind, None if kind is UpdateKind.FAILED else decode_integer(catalog))
 
 
-@dataclass(slots=True, frozen=True)
-class _Reader:
+class _Reader(NamedTuple):
     decode: Callable[[list[str]], Message]
     value_count: int | None  # None: any number above 0
 
