--- a/api_gateway/decisions/admission.py
+++ b/api_gateway/decisions/admission.py
@@ -1,7 +1,9 @@
 """Admission control by SiRED: the fraction of requests admitted, and an accumulator for each class and plan.
 
-f = max(fmin, min((Qmax - q) / (Qmax - Qmin), 1)) over the smoothed occupancy q (design page). Where f is less
-than 1, requests with the least weight for their work are shed first.
+f = max(fmin, min((Qmax - q) / (Qmax - Qmin), 1)) over the smoothed occupancy q. Where f is less than 1,
+requests with the least weight for their work are shed first.
+
+Source: SiRED in "Single and Simplified Multi Class Overload Controls for a SIP Server" (Lloyd).
 """
 
 from __future__ import annotations
@@ -9,13 +11,13 @@
 from api_gateway.decisions.occupancy import MIN_SHED_OCCUPANCY, Occupancy
 from api_gateway.model.settings import Plan, RequestClass
 
-MAX_SHED_OCCUPANCY = 0.45  # Qmax of the design: occupancy at which the fraction reaches its minimum
-MIN_ADMITTED_FRACTION = 0.05  # fmin of the design
+MAX_SHED_OCCUPANCY = 0.45  # Qmax of SiRED: occupancy at which the fraction reaches its minimum
+MIN_ADMITTED_FRACTION = 0.05  # fmin of SiRED
 MAX_RAMP_OFFSET = 0.25  # the ramp lies so much higher where this gateway sees nothing of an endpoint's load
 HALF_SEEN_IN_FLIGHT = 0.1  # own requests in flight on an endpoint, in the mean, that show half of its load
 GUARANTEED_PART = 0.25  # part of the fraction that each class and plan keeps, however little it weighs
 OVERDUE_OBJECTIVE_PART = 0.45  # part of its objective after which a request in flight counts as overload
-FEW_SAMPLES = 5.0  # samples of occupancy below which overdue requests count
+MIN_OCCUPANCY_SAMPLES = 5.0  # below which attempts that are overdue count as samples, too
 MIN_LATENCY_MS = 1e-6
 
 
@@ -91,7 +93,9 @@
         Args:
             overdue: Requests in flight for too long, each of which counts as one sample of 1.
         """
-        occupancy = (FEW_SAMPLES * self.occupancy.smoothed + overdue) / (FEW_SAMPLES + overdue)
+        occupancy = (MIN_OCCUPANCY_SAMPLES * self.occupancy.smoothed + overdue) / (
+            MIN_OCCUPANCY_SAMPLES + overdue
+        )
         offset = ramp_offset(self._in_flight_per_endpoint) + self.occupancy.noise
         self.fraction = admitted_fraction(occupancy, offset)
         self._distribute_fraction()
--- a/api_gateway/decisions/attempt_flow.py
+++ b/api_gateway/decisions/attempt_flow.py
@@ -73,7 +73,7 @@
 
     def start(self, pending: PendingRequest, endpoint: EndpointState, now_ms: float) -> None:
         """Start an attempt of a request at an endpoint."""
-        action = self._retry_policy.start_attempt(pending, endpoint, now_ms)
+        action = self._retry_policy.attempt_action(pending, endpoint, now_ms)
         block = self._class_latencies[pending.class_name].start_attempt(now_ms)
         self._pending.start_attempt(pending, Attempt(endpoint, now_ms, block))
         self._traffic.record_attempt()
--- a/api_gateway/decisions/counter_health.py
+++ b/api_gateway/decisions/counter_health.py
@@ -8,8 +8,8 @@
 from api_gateway.model.results import CounterResult
 
 REPLY_WEIGHT = 0.35  # weight of one reply in a running ratio of replies
-MIN_RELIABLE_RATIO = 0.5  # answered part of the calls below which totals are not relied on
-THINNING_EXPONENT = 4  # power of the answered part that gives the part of the calls that is made
+MIN_RELIABLE_RATIO = 0.5  # answered ratio below which totals are not relied on
+THROTTLE_EXPONENT = 4  # power of the answered ratio that gives the part of the calls that is made
 MAX_LOST_CONNECTIONS = 4  # calls in a row lost with their connection, before they count as unanswered
 RECOVERY_CALL_INTERVAL_MS = 1000.0  # a call is made this often however few are answered
 
@@ -19,14 +19,14 @@
 class CounterHealth:
     """The part of the counter calls that is answered, and the calls that it allows.
 
-    A counter that does not answer is crowded by this very fleet, so unanswered calls reduce the calls made.
+    Unanswered calls usually mean that this fleet overloads the counter, so they throttle further calls.
 
     Args:
         log: Where an unreliable counter is logged.
-        rng: Source of the draws that thin out calls.
+        rng: Source of the draws that throttle calls.
 
     Attributes:
-        answered_ratio: Running ratio of the calls that are answered.
+        answered_ratio: Running ratio of the calls that are answered; a rejected call counts as unanswered.
     """
 
     def __init__(self, log: RateLimitedLog, rng: Random) -> None:
@@ -44,7 +44,7 @@
     @property
     def call_ratio(self) -> float:
         """Part of the calls that is made."""
-        return self.answered_ratio**THINNING_EXPONENT
+        return self.answered_ratio**THROTTLE_EXPONENT
 
     def may_call(self, now_ms: float) -> bool:
         """Decide whether a call may be made now, by one random draw."""
--- a/api_gateway/decisions/endpoints.py
+++ b/api_gateway/decisions/endpoints.py
@@ -20,7 +20,7 @@
         in_flight: Own attempts in flight.
         latency_ratio: Running mean of its latency over the typical one of the request's class.
         consecutive_failures: Failures since its last success, while it is not ejected.
-        ejection_count: Ejections since its last success; 0 while it is not ejected.
+        ejection_count: Ejections since its last success; it stays ejected until then.
         ejected_until_ms: When the next probe may be sent to it.
         connect_failed: Whether connections to it failed: at its next success it may have just started.
         idle_connection_at_ms: When an answer last left a connection to it idle.
@@ -48,6 +48,11 @@
         self.last_time_slot = -1
         self.update(endpoint)
 
+    @property
+    def is_ejected(self) -> bool:
+        """Whether it is ejected: it gets probes only, until one succeeds."""
+        return self.ejection_count > 0
+
     def update(self, endpoint: Endpoint) -> None:
         """Take over an entry of the list; a later start is another process, of which nothing is known."""
         self.zone = endpoint.zone
@@ -151,4 +156,4 @@
     def in_failure_domain_of(self, state: EndpointState) -> list[EndpointState]:
         """Return the endpoints of an endpoint's failure domain that are up and not ejected."""
         domain = self._failure_domains.get((state.zone, state.failure_domain), {})
-        return [other for other in domain.values() if other.is_up and not other.ejection_count]
+        return [other for other in domain.values() if other.is_up and not other.is_ejected]
--- a/api_gateway/decisions/gateway.py
+++ b/api_gateway/decisions/gateway.py
@@ -200,6 +200,7 @@
             TypeError: `event` is not an event of `api_gateway.model.events`.
         """
         self._now_ms = now_ms = max(self._now_ms, now_ms)
+        self._actions.clear()  # of the last event, or of one that raised an exception
         if not self.uptime.has_started:
             self._start(now_ms)
         self.sweep_timer.detect_stall(now_ms)
@@ -207,9 +208,7 @@
         if handler is None:
             raise TypeError(f"not an event of api_gateway.model.events: {event!r}")
         handler(event, now_ms)
-        actions = self._actions.copy()
-        self._actions.clear()
-        return actions
+        return self._actions.copy()
 
     def _start(self, now_ms: float) -> None:
         self.uptime.start(now_ms)
--- a/api_gateway/decisions/latency.py
+++ b/api_gateway/decisions/latency.py
@@ -60,8 +60,8 @@
         self._since_recount = 0
         self._least_uncut_ms = 0.0
 
-    def least_uncut_ms(self, time_left_ms: float) -> float:
-        """Note one more request.
+    def record_request(self, time_left_ms: float) -> float:
+        """Record the time left of one more request.
 
         Args:
             time_left_ms: Its time left.
@@ -97,9 +97,9 @@
     def __init__(self, classes: Iterable[RequestClass]) -> None:
         self._patience = {c.name: ClientPatience() for c in classes}
 
-    def before(self, request: RequestReceived, request_class: RequestClass) -> float:
-        """Return the time spent before this request, in milliseconds; 0 where it does not show."""
-        least_uncut_ms = self._patience[request_class.name].least_uncut_ms(request.time_left_ms)
+    def spent_before_ms(self, request: RequestReceived, request_class: RequestClass) -> float:
+        """Record a request; return the time spent before it, in milliseconds, 0 where that does not show."""
+        least_uncut_ms = self._patience[request_class.name].record_request(request.time_left_ms)
         if request.time_left_ms >= least_uncut_ms:
             return 0.0
         return max(request_class.deadline_ms - request.time_left_ms, 0.0)
--- a/api_gateway/decisions/load_sampling.py
+++ b/api_gateway/decisions/load_sampling.py
@@ -4,8 +4,11 @@
 
 import math
 
-from api_gateway.decisions.admission import FEW_SAMPLES as FEW_FOR_OVERDUE
-from api_gateway.decisions.admission import OVERDUE_OBJECTIVE_PART, AdmissionController
+from api_gateway.decisions.admission import (
+    MIN_OCCUPANCY_SAMPLES,
+    OVERDUE_OBJECTIVE_PART,
+    AdmissionController,
+)
 from api_gateway.decisions.occupancy import FEW_SAMPLES
 from api_gateway.decisions.outlier_detection import OutlierDetector
 from api_gateway.decisions.pending_requests import Attempt, PendingRequest, PendingRequests
@@ -19,7 +22,7 @@
 from api_gateway.model.results import AttemptResult
 from api_gateway.model.settings import Settings
 
-MAX_SAMPLES_PER_UPDATE = 125  # outcomes after which admission is updated before the next sweep (design page)
+MAX_SAMPLES_PER_UPDATE = 125  # outcomes after which admission is updated before the next sweep (SiRED)
 CHANCE_STANDARD_DEVIATIONS = 2.0  # by which the attempts in flight may differ from their mean by chance
 UNINFORMATIVE = CONNECTION_FAILURES | {
     AttemptResult.CANCELLED,
@@ -71,12 +74,12 @@
     ) -> None:
         """Take in the end of an attempt."""
         occupancy = self._admission.occupancy
-        latency = self._sample(pending, attempt, event, now_ms)
+        latency = self._record_sample(pending, attempt, event, now_ms)
         occupancy.classes[pending.class_name].end_attempt(attempt.block, latency, now_ms)
         if occupancy.pending_samples >= MAX_SAMPLES_PER_UPDATE:
             self.update_admission(now_ms)
 
-    def _sample(
+    def _record_sample(
         self, pending: PendingRequest, attempt: Attempt, event: AttemptEnded, now_ms: float
     ) -> float | None:
         """Record a sample of occupancy.
@@ -127,7 +130,7 @@
             # With few requests near the minimal fraction, occupancy would stay high long after an overload.
             occupancy.decay(1 - SWEEP_INTERVAL_MS / self._longest_objective_ms)
         overdue = 0
-        if occupancy.sample_count < FEW_FOR_OVERDUE:
+        if occupancy.sample_count < MIN_OCCUPANCY_SAMPLES:
             overdue = self._pending.count_overdue(OVERDUE_OBJECTIVE_PART, now_ms)
         self._admission.update(overdue)
         fraction = self._admission.fraction
--- a/api_gateway/decisions/occupancy.py
+++ b/api_gateway/decisions/occupancy.py
@@ -3,7 +3,8 @@
 How much of its objective a class takes on idle endpoints differs between deployments. Where that baseline is
 above `MIN_SHED_OCCUPANCY`, occupancy counts from the baseline: no class is overload by its work alone.
 
-Source: the design's q (latency over the objective, capped at 1; rejections as 1, timeouts as 1).
+Source: q of SiRED, with latency over the objective (capped at 1; rejections and timeouts as 1) in place of
+the queue of one server.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 from api_gateway.model.settings import RequestClass
 
-MIN_SHED_OCCUPANCY = 0.2  # Qmin of the design: occupancy up to which all is admitted
+MIN_SHED_OCCUPANCY = 0.2  # Qmin of SiRED: occupancy up to which all is admitted
 REMEMBERED_SAMPLES = 20.0  # memory of the smoothed occupancy, and requests in a block of one class
 FEW_SAMPLES = 5.0  # below so many an estimate weighs less
 MAX_INTERVAL_WEIGHT = 0.3  # most that the mean of one interval weighs in the smoothed occupancy
@@ -159,7 +160,7 @@
 
     def __init__(self, classes: Iterable[RequestClass]) -> None:
         self.classes = {c.name: ClassLatency(c.latency_objective_ms) for c in classes}
-        self.smoothed = 0.0  # q of the design
+        self.smoothed = 0.0  # q of SiRED
         self.sample_count = 0
         self.pending_samples = 0  # since the last update
         self.recent_good = 0.0  # mean of the last answers in time
--- a/api_gateway/decisions/outlier_detection.py
+++ b/api_gateway/decisions/outlier_detection.py
@@ -1,7 +1,7 @@
 """Outlier detection: endpoints that fail or are far slower than the others are ejected, and probed again.
 
-An ejected endpoint comes back with its first success. It is probed by single requests: the first one
-`EJECTION_BACKOFF_MS` after its ejection, the next one twice as long after each failure.
+An ejected endpoint comes back with its first success. It is probed by single requests of clients: the first
+one `EJECTION_BACKOFF_MS` after its ejection. Each probe that fails doubles the backoff.
 """
 
 from __future__ import annotations
@@ -56,7 +56,7 @@
 
     Attributes:
         median_latency_ratio: Median over the subset, 1 at least.
-        is_majority_ejected: Whether over half of the subset is ejected: then none of them is an outlier.
+        is_majority_ejected: Whether over half of the subset is ejected: then ejection makes no outlier.
     """
 
     def __init__(self, table: EndpointTable, log: RateLimitedLog) -> None:
@@ -77,9 +77,9 @@
         self.is_majority_ejected = 2 * ejected > len(ratios)
 
     def is_outlier(self, endpoint: EndpointState) -> bool:
-        """Whether an endpoint is worse than the others; where all are slow or fail, none is."""
+        """Whether an endpoint is far slower than the median, or ejected while most are not."""
         is_slow = endpoint.latency_ratio > OUTLIER_LATENCY_RATIO * self.median_latency_ratio
-        return is_slow or (endpoint.ejection_count > 0 and not self.is_majority_ejected)
+        return is_slow or (endpoint.is_ejected and not self.is_majority_ejected)
 
     def record_outcome(
         self,
@@ -101,7 +101,7 @@
         if event.result is AttemptResult.OK:
             self._record_success(endpoint, event.duration_ms / expected_ms, now_ms)
         elif event.result is AttemptResult.CONNECT_FAILED:
-            # A reset is the end of one connection; an endpoint that is down refuses the next connect.
+            # A reset ends one connection only; an endpoint that is down refuses the next connect.
             endpoint.connect_failed = True
             self.eject(endpoint, now_ms)
         elif event.result in RESETS:
@@ -110,16 +110,16 @@
             ratio = max(objective_ms / expected_ms, MIN_FAILURE_LATENCY_RATIO)
             self._record_latency(endpoint, ratio)
             is_slow = event.result is AttemptResult.TIMED_OUT and self.is_outlier(endpoint)
-            counts = is_slow or event.result is AttemptResult.ERROR
-            self._record_failure(endpoint, now_ms, failures=int(counts))
+            is_failure = is_slow or event.result is AttemptResult.ERROR
+            self._record_failure(endpoint, now_ms, is_counted=is_failure)
 
     def _record_success(self, endpoint: EndpointState, latency_ratio: float, now_ms: float) -> None:
         if endpoint.connect_failed:
-            # It has restarted long before the endpoint list tells of it.
+            # It may have restarted; the endpoint list shows that only later.
             endpoint.slow_start_from_ms = max(endpoint.slow_start_from_ms, now_ms)
             endpoint.connect_failed = False
             self._table.mark_changed()
-        if endpoint.ejection_count:
+        if endpoint.is_ejected:
             self._table.mark_changed()
         endpoint.consecutive_failures = endpoint.ejection_count = 0
         self._record_latency(endpoint, latency_ratio)
@@ -130,14 +130,15 @@
         offset = min(ratio, MAX_LATENCY_RATIO) - endpoint.latency_ratio
         endpoint.latency_ratio += LATENCY_RATIO_WEIGHT * offset
 
-    def _record_failure(self, endpoint: EndpointState, now_ms: float, failures: int = 1) -> None:
-        endpoint.consecutive_failures += failures
-        if endpoint.ejection_count or endpoint.consecutive_failures >= MAX_CONSECUTIVE_FAILURES:
+    def _record_failure(self, endpoint: EndpointState, now_ms: float, *, is_counted: bool = True) -> None:
+        """Count a failure, and eject the endpoint after too many of them, or if this was a probe."""
+        endpoint.consecutive_failures += is_counted
+        if endpoint.is_ejected or endpoint.consecutive_failures >= MAX_CONSECUTIVE_FAILURES:
             self.eject(endpoint, now_ms)
 
     def eject(self, endpoint: EndpointState, now_ms: float) -> None:
         """Eject an endpoint, or double its backoff if a probe of it failed."""
-        if endpoint.ejection_count and now_ms < endpoint.ejected_until_ms:
+        if endpoint.is_ejected and now_ms < endpoint.ejected_until_ms:
             return
         backoff_ms = min(EJECTION_BACKOFF_MS * 2**endpoint.ejection_count, MAX_EJECTION_BACKOFF_MS)
         endpoint.ejected_until_ms = now_ms + backoff_ms
--- a/api_gateway/decisions/pending_requests.py
+++ b/api_gateway/decisions/pending_requests.py
@@ -1,4 +1,4 @@
-"""Requests that are owed an answer, or whose attempts are still in flight."""
+"""Requests with attempts: until they are answered and their last attempt has ended."""
 
 from __future__ import annotations
 
--- a/api_gateway/decisions/quota.py
+++ b/api_gateway/decisions/quota.py
@@ -13,7 +13,7 @@
 from api_gateway.decisions.random_rounding import round_randomly
 from api_gateway.model.settings import Plan
 
-WINDOW_REFILLS = 2.0  # a window lasts so many times burst / rate: older unused refill is not lent out
+WINDOW_REFILLS = 2.0  # a window lasts so many times burst / rate
 MAX_COUNT_TTL_MS = 60000.0  # longest life of a count at the counter
 MIN_WINDOW_MS = 1.0
 ESTIMATE_HEADROOM = 1.5  # share of an even split while nothing is overloaded: usage is uneven
@@ -60,8 +60,8 @@
         plan: The tenant's plan.
         gateway_count: Gateways that the tenant's requests come through.
         now_ms: The time now.
-        age_ms: How long this gateway has been up. After a restart it has spent what it no longer knows of, so
-            it starts with what it could have earned since.
+        age_ms: How long this gateway has been up. Its usage before a restart is unknown, so it starts with
+            the refill since then.
         conditions: What the estimates depend on.
 
     Attributes:
@@ -146,7 +146,9 @@
         return self.last_total is None or not self._conditions.is_counter_reliable
 
     def admits(self, units: float, now_ms: float) -> bool:
-        """Whether a request of so many units is within the quota.
+        """Refill, and return whether a request of so many units is within the quota.
+
+        Where only an estimate is known, one that is below the request is rounded by a random draw.
 
         The first request of a tenant with no known total is admitted: it costs little, and its counter call
         tells the total.
@@ -159,7 +161,7 @@
         return self.remaining >= units - ROUNDING_TOLERANCE
 
     def is_uncertain(self, units: float, now_ms: float) -> bool:
-        """Whether the estimate says no or maybe to so many units, while the last total allows them."""
+        """Refill, and return whether the estimate may not allow so many units while the last total does."""
         peer_usage = max(self.peer_usage_rate, 0.0) * (now_ms - self.last_total_at_ms)
         uncertainty: float = peer_usage**0.5  # usage by independent requests varies by its square root
         return self.refill(now_ms) - uncertainty < units <= self.remaining_upper_bound
@@ -171,16 +173,16 @@
         self.remaining_upper_bound -= units
 
     def record_total(self, total: float, reported_usage: float, now_ms: float) -> None:
-        """Take in a total: what all gateways used in this window, and what was owed at its start.
+        """Take in a total: what all gateways used in this window, and the debt carried over to it.
 
         Args:
-            total: What the counter told.
+            total: The total of this window.
             reported_usage: What this gateway has reported in this window.
             now_ms: The time now.
         """
         peer_usage = total - (self.last_total or 0.0) - (reported_usage - self._reported_at_last_total)
         self.refill(now_ms)
-        # A counter that was restarted tells less than was reported to it.
+        # A counter that has restarted has less than was reported to it: its total is not used.
         if total >= reported_usage - TOTAL_TOLERANCE and peer_usage >= -TOTAL_TOLERANCE:
             self._set_remaining(total, peer_usage, reported_usage, now_ms)
             self._estimate_peer_usage(peer_usage, now_ms)
@@ -189,7 +191,7 @@
         self.last_total_at_ms = now_ms
 
     def _set_remaining(self, total: float, peer_usage: float, reported_usage: float, now_ms: float) -> None:
-        """Set what is left; usage beyond the quota took nothing from the bucket, and is not owed for ever."""
+        """Set what is left; usage beyond the quota takes nothing from the bucket for ever."""
         remaining = self.remaining_upper_bound - peer_usage
         if self.is_total_unknown:
             refill = self.plan.quota_rate * (now_ms - self.window_started_at_ms) / 1000
--- a/api_gateway/decisions/rejections.py
+++ b/api_gateway/decisions/rejections.py
@@ -7,6 +7,8 @@
 from api_gateway.model.actions import Action, RejectRequest
 from api_gateway.model.results import RejectReason
 
+MIN_RETRY_AFTER_MS = SWEEP_INTERVAL_MS  # while all is admitted; the admitted fraction changes at each sweep
+
 
 class Rejections:
     """Rejects requests at once, and tells their clients when to come again (RFC 9110, section 10.2.3).
@@ -14,7 +16,7 @@
     Args:
         actions: Where the answers are added.
         admission: Knows what part of the requests is admitted.
-        max_retry_after_ms: Longest Retry-After that may be told; 0 for none.
+        max_retry_after_ms: Longest Retry-After allowed; 0 for none.
     """
 
     def __init__(
@@ -32,6 +34,6 @@
             reason: Why it is rejected.
             refill_ms: Time in which a quota refills by its units; Retry-After is longer while load is shed.
         """
-        retry_after_ms = max(refill_ms, SWEEP_INTERVAL_MS / self._admission.fraction)
+        retry_after_ms = max(refill_ms, MIN_RETRY_AFTER_MS / self._admission.fraction)
         retry_after_ms = min(retry_after_ms, self._max_retry_after_ms)
         self._actions.append(RejectRequest(request_id, retry_after_ms, reason))
--- a/api_gateway/decisions/request_flow.py
+++ b/api_gateway/decisions/request_flow.py
@@ -1,4 +1,4 @@
-"""The way of a request: quota and ceiling, admission, choice of an endpoint, attempts, one final answer."""
+"""The way of a request to its first attempt: quota, admission, ceiling, choice of an endpoint."""
 
 from __future__ import annotations
 
@@ -29,7 +29,8 @@
 class RequestFlow:
     """Takes each request from its receipt to its first attempt, or rejects it.
 
-    It holds no state of its own: it asks the owners of quotas, admission and endpoints in turn.
+    It asks the owners of quotas, admission and endpoints in turn, and keeps what it learns of how long
+    clients wait.
 
     Args:
         settings: The gateway's settings.
@@ -131,7 +132,7 @@
         """Return when an answer becomes worthless: at the deadline if late answers have any weight."""
         if request_class.late_priority_weight > 0:
             return deadline_at_ms
-        spent_ms = self._spent_time.before(request, request_class)
+        spent_ms = self._spent_time.spent_before_ms(request, request_class)
         return min(now_ms + request_class.latency_objective_ms - spent_ms, deadline_at_ms)
 
     def _find_tenant(self, request: RequestReceived, plan: Plan, now_ms: float) -> Tenant | None:
--- a/api_gateway/decisions/retry.py
+++ b/api_gateway/decisions/retry.py
@@ -112,7 +112,7 @@
                 return window_end_ms - 2 * self._settings.clock_tick_ms - now_ms
         return math.inf
 
-    def start_attempt(self, pending: PendingRequest, endpoint: EndpointState, now_ms: float) -> StartAttempt:
+    def attempt_action(self, pending: PendingRequest, endpoint: EndpointState, now_ms: float) -> StartAttempt:
         """Return the action that sends a request to an endpoint."""
         return StartAttempt(
             request_id=pending.request_id,
--- a/api_gateway/decisions/selection.py
+++ b/api_gateway/decisions/selection.py
@@ -16,12 +16,10 @@
 
 CONNECT_PENALTY = 1.7  # load factor of an endpoint that needs a new connection, while traffic is sparse
 RETRY_PENALTY = 4  # load factor of an endpoint that the request was sent to before
-LATENCY_EXPONENT = (
-    0.5  # latency is partly noise of others' requests: in full it would send all to one endpoint
-)
+LATENCY_EXPONENT = 0.5  # latency is partly noise: in full it would send all gateways to one endpoint
 TIE_BREAK_BASE = 1.3
 TIE_BREAK_WEIGHT = 0.1  # of the random part, and of each visit interval since the last attempt
-MAX_VISIT_INTERVALS = 3.0
+MAX_WAITED_INTERVALS = 3.0
 
 
 class EndpointSelector:
@@ -138,7 +136,7 @@
         best: EndpointState | None = None
         best_score = 0.0
         for endpoint in endpoints:
-            if endpoint.ejection_count:
+            if endpoint.is_ejected:
                 continue
             if not self._retry_policy.is_attempt_allowed(pending, endpoint, now_ms):
                 continue
@@ -158,7 +156,7 @@
         slowness: float = endpoint.latency_ratio**LATENCY_EXPONENT
         score = (endpoint.in_flight + 1) * slowness / endpoint.weight
         intervals = (now_ms - endpoint.last_attempt_at_ms) / self._subset.visit_interval_ms
-        waited = TIE_BREAK_WEIGHT * min(intervals, MAX_VISIT_INTERVALS)
+        waited = TIE_BREAK_WEIGHT * min(intervals, MAX_WAITED_INTERVALS)
         score *= TIE_BREAK_BASE + TIE_BREAK_WEIGHT * self._rng.random() - waited
         if (
             self._sizer.is_traffic_sparse
--- a/api_gateway/decisions/slow_start.py
+++ b/api_gateway/decisions/slow_start.py
@@ -65,7 +65,9 @@
         return least + (1 - least) * max(age_ms, 0.0) / settings.slow_start_ms
 
     def admits(self, endpoint: EndpointState, work: float, now_ms: float) -> bool:
-        """Decide whether an endpoint may be sent a request.
+        """Refill the budget of an endpoint, and decide whether it may be sent a request.
+
+        A budget below the request is rounded by a random draw; a time slot that is used is taken.
 
         Args:
             endpoint: The endpoint, warming up or not.
--- a/api_gateway/decisions/subset.py
+++ b/api_gateway/decisions/subset.py
@@ -19,7 +19,7 @@
 MAX_SIZE = 256
 RESIZE_FACTOR = 1.25  # least change of the size: each change costs connections
 MAX_CANDIDATES = 32  # endpoints compared for one request: the best of so many is as good as the best of all
-WALK_FACTOR = 8  # endpoints looked at on the ring, in multiples of the size
+WALK_FACTOR = 8  # endpoints examined on the ring, in multiples of the size
 WALK_EXTRA = 64  # and so many more
 MAX_WARMING_UP_FACTOR = 2  # endpoints that are warming up, in multiples of the size
 
@@ -95,7 +95,7 @@
         max_walked = WALK_FACTOR * self.size + WALK_EXTRA
         for walked, name in enumerate(self._table.ring.walk(self._position), start=1):
             endpoint = self._table.available[name]
-            if endpoint.ejection_count:
+            if endpoint.is_ejected:
                 ejected.append(endpoint)
             elif endpoint.slow_start_from_ms and now_ms < endpoint.slow_start_from_ms + self._slow_start_ms:
                 if len(warming_up) < MAX_WARMING_UP_FACTOR * self.size:
--- a/api_gateway/decisions/subset_sizing.py
+++ b/api_gateway/decisions/subset_sizing.py
@@ -12,7 +12,7 @@
 SHRINK_FACTOR = 0.99  # by which it falls back at a sweep
 MAX_SCALE = 4.0
 PRESSED_FRACTION = 0.9  # admitted fraction below which the back end is under pressure
-MAX_VISIT_INTERVALS = 10  # longest visit interval, in multiples of the target
+MAX_VISIT_INTERVAL_FACTOR = 10  # longest visit interval, in multiples of the target
 REUSABLE_PART_OF_IDLE_TIMEOUT = 0.45  # part of the idle timeout for which a connection is taken to be open
 MIN_VISITS_PER_CONNECTION = (
     2.0  # in that time, below which a gateway keeps to endpoints with open connections
@@ -58,7 +58,7 @@
         )
         subset.resize(max(MIN_SIZE, attempt_rate * TARGET_VISIT_INTERVAL_MS, coverage) * self._scale)
         interval_ms = len(subset.warm) / max(attempt_rate, MIN_RATE)
-        max_interval_ms = MAX_VISIT_INTERVALS * TARGET_VISIT_INTERVAL_MS
+        max_interval_ms = MAX_VISIT_INTERVAL_FACTOR * TARGET_VISIT_INTERVAL_MS
         subset.visit_interval_ms = min(interval_ms, max_interval_ms) or TARGET_VISIT_INTERVAL_MS
         visits = attempt_rate * REUSABLE_PART_OF_IDLE_TIMEOUT * self._idle_connection_timeout_ms
         self.is_traffic_sparse = visits < MIN_VISITS_PER_CONNECTION * len(subset.warm)
--- a/api_gateway/decisions/uptime.py
+++ b/api_gateway/decisions/uptime.py
@@ -5,7 +5,7 @@
 from api_gateway.model.actions import StartTimer
 
 SWEEP_TIMER = "sweep"
-SWEEP_INTERVAL_MS = 100.0  # a tenth of the shortest fault
+SWEEP_INTERVAL_MS = 100.0
 STALL_INTERVALS = 2.0  # a sweep that is overdue by so many intervals shows that the process was stalled
 
 
--- a/api_gateway/decisions/usage_reporting.py
+++ b/api_gateway/decisions/usage_reporting.py
@@ -20,7 +20,7 @@
     Args:
         settings: The gateway's settings.
         health: How well the counter answers.
-        rng: Source of the draws that thin out queries.
+        rng: Source of the draws that throttle queries.
         actions: Where calls are added.
     """
 
@@ -42,7 +42,7 @@
         return self._waiting.pop(request_id, None) is not None
 
     def needs_total(self, tenant: Tenant, units: float, now_ms: float) -> bool:
-        """Whether a request should wait for a total before it is decided on."""
+        """Decide, by random draws, whether a request waits for a total before it is decided on."""
         if not self._is_enabled or tenant.plan.quota_rate <= 0 or not self._health.may_call(now_ms):
             return False
         is_uncertain = tenant.quota.is_uncertain(units, now_ms)
@@ -138,7 +138,7 @@
             self.report(tenant, now_ms, at_once=True)
 
     def take_waiting(self, tenant: Tenant) -> list[PendingRequest]:
-        """Return the requests of a tenant that wait for a total and are still wanted."""
+        """Return the requests of a tenant that wait for a total and whose clients have not gone."""
         self._waiting_tenants.pop(tenant, None)
         return [p for p in tenant.report.take_waiting() if self.stop_waiting(p.request_id)]
 
--- a/api_gateway/model/results.py
+++ b/api_gateway/model/results.py
@@ -62,7 +62,7 @@
     UNKNOWN_CLASS_OR_PLAN = "unknown_class_or_plan"
     NO_ENDPOINTS = "no_endpoints"  # the endpoint list is empty
     DEADLINE_PASSED = "deadline_passed"
-    OBJECTIVE_PASSED = "objective_passed"  # the client spent the latency objective on earlier requests
+    OBJECTIVE_PASSED = "objective_passed"  # by earlier requests of the client, or while it waited for a total
     TENANT_TABLE_FULL = "tenant_table_full"
     LOAD_SHED = "load_shed"  # the back end is overloaded
     OVER_QUOTA = "over_quota"
--- a/api_gateway/model/settings.py
+++ b/api_gateway/model/settings.py
@@ -108,7 +108,7 @@
         max_attempts: Attempts for one request, the first one included.
         hedging_allowed: Whether two attempts of a request may be in flight at once.
         cancellation_supported: Whether an attempt can be cancelled.
-        max_retry_after_ms: Longest Retry-After that may be told; 0 for none.
+        max_retry_after_ms: Longest Retry-After allowed; 0 for none.
         health_checks_allowed: Whether endpoints may be asked for their health.
         gossip_allowed: Whether gateways may talk to each other.
         discovery_by_polling: Whether the endpoint list comes only on request.
@@ -120,7 +120,7 @@
         idle_connection_timeout_ms: Endpoints close connections that are idle for so long.
         clock_tick_ms: Resolution of the clock.
         response_slack_ms: How late a final answer may be.
-        drain_grace_ms: How long after the news an endpoint that drains may still be sent requests.
+        drain_grace_ms: How long after the update an endpoint that drains may still be sent requests.
         slow_start_min_weight: Part of its capacity that an endpoint has when it starts.
         slow_start_ms: Time after which a started endpoint has its whole capacity.
         overload_multiple: Multiple of its capacity that topples an endpoint that is warming up.
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -42,3 +42,18 @@
     ]:
         with pytest.raises(ValueError, match=word):
             Gateway(settings(**changes), 1)
+
+
+def test_actions_of_an_event_that_raised_are_not_returned_with_the_next(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    driver = GatewayDriver()
+
+    def fail(*arguments: object) -> None:
+        raise RuntimeError
+
+    with monkeypatch.context() as patch:
+        patch.setattr(driver.gateway.attempts, "start", fail)
+        with pytest.raises(RuntimeError):
+            driver.ask(plan="basic", time_left_ms=200)  # after it has added a counter call
+    assert driver.give(TimerFired("unknown")) == []
