--- a/api_gateway/__main__.py
+++ b/api_gateway/__main__.py
@@ -11,7 +11,7 @@
 import uvloop
 
 from api_gateway.configuration import Configuration, load
-from api_gateway.errors import ConfigurationError
+from api_gateway.errors import ConfigurationError, ListenError
 from api_gateway.logs import configure_logging, lifecycle_log
 from api_gateway.network.address import Address
 from api_gateway.network.dispatcher import Dispatcher
@@ -27,8 +27,8 @@
     """Run a gateway until it is terminated.
 
     Returns:
-        The exit status: 0 after a graceful shutdown, 2 if the configuration cannot be used or the address is
-        in use, with one line on standard error.
+        The exit status: 0 after a graceful shutdown; 2 with one line on standard error if the configuration
+        cannot be used, the address cannot be listened on, or another call of the system failed.
     """
     try:
         config = load(os.environ)
@@ -39,7 +39,7 @@
     try:
         uvloop.run(serve(config))
     except OSError as error:
-        print(f"listen: {error}", file=sys.stderr)
+        print(error, file=sys.stderr)
         return EXIT_CANNOT_START
     return EXIT_OK
 
@@ -51,7 +51,8 @@
         config: The configuration of the gateway.
 
     Raises:
-        OSError: The address is in use.
+        ListenError: The address for clients cannot be listened on.
+        OSError: Another call of the system failed during start-up.
     """
     loop = asyncio.get_running_loop()
     dispatcher = Dispatcher(config, loop)
@@ -74,7 +75,10 @@
 async def _start_up(dispatcher: Dispatcher, listener: Listener, address: Address) -> None:
     dispatcher.start()
     await dispatcher.endpoints_known.wait()  # clients are accepted once endpoints are known
-    host, port = listener.start(address)
+    try:
+        host, port = listener.start(address)
+    except OSError as error:
+        raise ListenError(f"listen: {error}") from error
     lifecycle_log.info("listening on %s:%d", host, port)
     gc.freeze()
     gc.set_threshold(GC_THRESHOLD)
--- a/api_gateway/errors.py
+++ b/api_gateway/errors.py
@@ -11,6 +11,10 @@
     """The configuration cannot be used to start a gateway; the text names the key."""
 
 
+class ListenError(GatewayError, OSError):
+    """The address for clients cannot be listened on."""
+
+
 class SettingError(GatewayError, ValueError):
     """One key of the settings object has a value that cannot be used.
 
--- a/tests/test_program_control.py
+++ b/tests/test_program_control.py
@@ -51,6 +51,23 @@
     assert field in done.stderr
 
 
+@async_test()
+async def test_address_in_use_exits_with_one_line(tmp_path: Path) -> None:
+    async with RunningProgram(tmp_path, serve) as program:
+        second = await asyncio.create_subprocess_exec(
+            sys.executable,
+            "-m",
+            "api_gateway",
+            cwd=ROOT,
+            stderr=asyncio.subprocess.PIPE,
+            env={**os.environ, "ROUTER_CONFIG": str(program.write_configuration())},
+        )
+        _, stderr = await second.communicate()
+        assert second.returncode == 2
+        lines = stderr.decode().splitlines()
+        assert len(lines) == 1 and lines[0].startswith("listen: ") and "in use" in lines[0]
+
+
 @async_test()
 async def test_sigterm_serves_late_requests_and_those_in_flight_before_exit(tmp_path: Path) -> None:
     async with RunningProgram(tmp_path, stay_silent) as program:
