--- a/api_gateway/logs.py
+++ b/api_gateway/logs.py
@@ -9,6 +9,10 @@
 import sys
 import time
 
+# DEBUG adds one line for each rejected request, `request_rejected`, with the reason and the X-Request-Id. The
+# bound of MAX_LINES_PER_S holds for these lines, too.
+LOG_LEVEL = logging.INFO
+
 MAX_LINES_PER_S = 20
 
 lifecycle_log = logging.getLogger("api_gateway.lifecycle")  # start-up, reload and shutdown: never dropped
@@ -56,4 +60,4 @@
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(logging.Formatter(f"%(asctime)s {gateway_name} %(levelname)s %(message)s"))
     handler.addFilter(RateLimitFilter())
-    logging.basicConfig(level=logging.INFO, handlers=[handler])
+    logging.basicConfig(level=LOG_LEVEL, handlers=[handler])
--- a/api_gateway/network/clock.py
+++ b/api_gateway/network/clock.py
@@ -5,6 +5,10 @@
 import asyncio
 import time
 
+# After a stall, the event loop runs an overdue timer before it reads a response that arrived in time. So a
+# timeout is acted on this long after its timer, which is a turn or two of the loop.
+TIMEOUT_READ_DELAY_S = 0.002
+
 INTERVAL_S = 0.05
 MIN_LAG_MS = 5.0  # less than this is ordinary jitter
 RESET_DELAY_S = 0.001
@@ -24,7 +28,8 @@
 class EventLoopLag:
     """Measures the lag of the event loop with a timer that is due every `INTERVAL_S`.
 
-    After a stall the lag is kept until the sockets have been read: what is read then may have waited so long.
+    After a stall the lag is kept until the sockets have been read: data read then may have been unread for as
+    long.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -38,7 +43,7 @@
         self._loop.call_later(INTERVAL_S, self._measure)
 
     def lag_ms(self, now: float) -> float:
-        """Return how long, at most, what is read now may have waited for the event loop, in ms.
+        """Return how long, at most, data that is read now has been unread, in ms.
 
         Args:
             now: The time by `time.monotonic`.
--- a/api_gateway/network/counter.py
+++ b/api_gateway/network/counter.py
@@ -11,8 +11,8 @@
 from api_gateway.network.address import Address
 from api_gateway.network.counter_connection import CounterCall, CounterConnection
 
-CONNECTION_COUNT = 4  # a slow part of the counter delays only what shares a connection with its calls
-READ_GRACE_S = 0.001  # a turn of the loop, in which a response that has arrived is read
+CONNECTION_COUNT = 4  # a slow part of the counter delays only the calls that share a connection with its own
+COUNTER_READ_DELAY_S = 0.001  # as clock.TIMEOUT_READ_DELAY_S, but one turn of the loop
 
 
 class CounterClient:
@@ -84,7 +84,7 @@
             self._report(call, CounterResult.CONNECT_FAILED)
 
     def _load(self, connection: CounterConnection) -> int:
-        """Return the calls in flight, with a handicap for a connection that is not established."""
+        """Return the calls in flight, counting one that is not established as more heavily loaded."""
         return connection.calls_in_flight + (0 if connection.is_connected else self._connection_count)
 
     def _report(self, call: CounterCall, result: CounterResult, total: float = 0.0) -> None:
@@ -98,20 +98,20 @@
 
     def _on_timeout(self, call: CounterCall) -> None:
         # A stalled loop fires this timer before it reads a response that has arrived in time.
-        call.timer = self._loop.call_later(READ_GRACE_S, self._on_grace_over, call)
+        call.timer = self._loop.call_later(COUNTER_READ_DELAY_S, self._on_read_delay_over, call)
 
-    def _on_grace_over(self, call: CounterCall) -> None:
-        if call.is_written and self._is_alone_silent(call):
-            call.connection.give_up()
+    def _on_read_delay_over(self, call: CounterCall) -> None:
+        if call.is_written and self._is_only_its_connection_silent(call):
+            call.connection.close_and_replace()
             return
         self._report(call, CounterResult.TIMED_OUT if call.is_written else CounterResult.CONNECT_FAILED)
 
-    def _is_alone_silent(self, call: CounterCall) -> bool:
+    def _is_only_its_connection_silent(self, call: CounterCall) -> bool:
         """Return whether the connection of a late call is silent while the counter answers on others.
 
-        A network path may lose a single connection, or a proxy may be stuck on it. If the calls on it were
-        reported as timed out, the counter would be taken for down. A slow part of the counter shows on more
-        than one connection, and a counter that is down on all.
+        A network path or a proxy may fail for a single connection. If the calls on it were reported as timed
+        out, the counter would be taken for down. A slow part of the counter delays calls on more than one
+        connection, and a counter that is down answers on none.
         """
         others = [connection for connection in self._connections if connection is not call.connection]
         late = self._loop.time() - self._timeout_s / 2
--- a/api_gateway/network/counter_codec.py
+++ b/api_gateway/network/counter_codec.py
@@ -23,5 +23,5 @@
 
 
 def _decimal(amount: float) -> str:
-    """Return a parse_decimal without an exponent, which the counter does not accept."""
+    """Return a number as decimal digits, without an exponent, which the counter does not accept."""
     return f"{amount:.6f}".rstrip("0").rstrip(".")
--- a/api_gateway/network/counter_connection.py
+++ b/api_gateway/network/counter_connection.py
@@ -17,7 +17,7 @@
 log = logging.getLogger(__name__)
 
 CONNECT_TIMEOUT_S = 0.25
-RESPONSE_TIMEOUT_S = 1.0  # a counter that is cut off leaves its connections open and silent
+RESPONSE_TIMEOUT_S = 1.0  # if the network to the counter fails, connections stay open without a response
 BACKOFF_BASE_S = 0.05
 MAX_BACKOFF_S = 1.0
 MAX_BACKOFF_DOUBLINGS = 10
@@ -130,7 +130,7 @@
             self.connect()
 
     def stop(self) -> None:
-        """Close the connection for good."""
+        """Close the connection; it is not replaced."""
         self._is_retired = True
         if self._reconnect_timer is not None:
             self._reconnect_timer.cancel()
@@ -140,7 +140,7 @@
             self._protocol.abort()
 
     def retire(self) -> list[CounterCall]:
-        """Close the connection for good once the calls that were written are answered.
+        """Close the connection once the calls that were written are answered; it is not replaced.
 
         Returns:
             The calls that were never written; another connection may take them.
@@ -150,12 +150,12 @@
             if not self._calls:
                 self.stop()
             return []
-        waiting = [call for call in self._calls if not call.is_done]
+        unwritten = [call for call in self._calls if not call.is_done]
         self._calls.clear()
         self.stop()
-        return waiting
+        return unwritten
 
-    def give_up(self) -> None:
+    def close_and_replace(self) -> None:
         """Close a connection that has become silent, and replace it."""
         self._protocol.abort()
         self._fail_calls(CounterResult.CONNECTION_LOST)
@@ -163,7 +163,7 @@
     # --- Events of the protocol ----------------------------------------------------------------------------
 
     def handle_connected(self, protocol: CounterProtocol) -> None:
-        """Write the calls that wait, when the connection is established.
+        """Write the calls that were submitted before the connection was established.
 
         This is reported by the protocol and not by the task of `connect`: a connection that is reset at once
         has ended before its task is done.
@@ -262,7 +262,7 @@
         self._fail_calls(CounterResult.CONNECTION_LOST)
 
     def _reconnect(self) -> None:
-        # Without waiting for a call: until then all calls would share the connections that are left.
+        # Not only at the next call: until it is established, calls share the connections that remain.
         if self._protocol is None and self._connecting is None and not self._is_retired:
             self.connect()
 
@@ -290,9 +290,9 @@
         super().resume_writing()
         self._connection.handle_flushed()
 
-    def response_received(self, reply: Response, reusable: bool) -> None:
+    def response_received(self, response: Response, reusable: bool) -> None:
         """Report a response."""
-        self._connection.handle_response(reply, reusable)
+        self._connection.handle_response(response, reusable)
 
     def malformed_response(self) -> None:
         """Report a response that is not HTTP."""
--- a/api_gateway/network/discovery.py
+++ b/api_gateway/network/discovery.py
@@ -9,6 +9,7 @@
 
 from api_gateway.errors import MalformedEndpointListError
 from api_gateway.network.address import Address
+from api_gateway.network.clock import TIMEOUT_READ_DELAY_S
 from api_gateway.network.discovery_codec import (
     EndpointList,
     decode_endpoint_list,
@@ -22,8 +23,6 @@
 
 log = logging.getLogger(__name__)
 
-READ_GRACE_S = 0.002  # some turns of the loop, in which a response that has arrived is read
-
 
 class DiscoveryWatch:
     """Polls discovery for as long as the gateway runs, and passes on each endpoint list.
@@ -33,8 +32,9 @@
     fail together do not retry in step. A watch that knows a list asks for its changes only, also after a
     failure: full lists for a whole fleet at once would overload discovery.
 
-    A long poll without a response looks like one without a change. So polls wait for a short time only, and
-    the first poll after a failure does not wait, which shows at once whether discovery answers.
+    A long poll that gets no response cannot be distinguished from one without a change. So polls wait for a
+    short time only, and the first poll after a failure does not wait and detects at once whether discovery
+    answers.
     """
 
     def __init__(
@@ -86,7 +86,7 @@
             self._start_timer(self._policy.spread_s * self._rng.random(), self._poll)
 
     def stop(self) -> None:
-        """End the watch for good."""
+        """End the watch."""
         self._is_stopped = True
         self._cancel_timer()
         if self._connecting is not None:
@@ -95,7 +95,7 @@
             self._connection.abort()
 
     def change_address(self, address: Address) -> None:
-        """Poll another discovery, from its full list on; what is known is kept until that has arrived.
+        """Poll another discovery, from its full list on; the list that is known is kept until then.
 
         Args:
             address: Host and port of the new discovery.
@@ -187,7 +187,7 @@
         self._on_update(endpoint_list)
 
     def _handle_rejection(self, connection: DiscoveryConnection, status: int) -> None:
-        # The generation stays known: full lists would cost a discovery that is overloaded the most.
+        # The generation stays known: full lists are the largest load for a discovery that is overloaded.
         log.warning("discovery_poll_rejected status=%d endpoints=kept", status)
         self._rejections += 1
         connection.abort()
@@ -211,29 +211,29 @@
         if connection is not self._connection:
             return
         self._connection = None
-        # A long poll brings what was missed as well, and costs a service less than a poll without a wait.
+        # A long poll brings what was missed as well, at less load for a service than one without a wait.
         self._is_up_to_date = self._is_up_to_date and not self._policy.is_agent
         self._back_off()
 
     def _on_timeout(self) -> None:
         # A stalled loop fires this timer before it reads a response that has arrived in time.
-        self._timer = self._loop.call_later(READ_GRACE_S, self._on_grace_over)
+        self._timer = self._loop.call_later(TIMEOUT_READ_DELAY_S, self._on_read_delay_over)
 
-    def _on_grace_over(self) -> None:
+    def _on_read_delay_over(self) -> None:
         if self._is_progressing():
             self._start_timer(self._policy.progress_timeout_s(), self._on_timeout)
         else:
-            self._give_up_poll()
+            self._time_out_poll()
 
     def _is_progressing(self) -> bool:
-        """Whether more of a full list has arrived since this was checked last."""
+        """Return whether more of a full list has arrived since this was checked last."""
         if self._connection is None or self._generation is not None:
             return False
         previous_bytes, self._received_bytes = self._received_bytes, self._connection.received_bytes()
         deadline = self._poll_started_at + self._policy.full_list_timeout_s()
         return self._received_bytes > previous_bytes and self._loop.time() < deadline
 
-    def _give_up_poll(self) -> None:
+    def _time_out_poll(self) -> None:
         if not self._has_timed_out:
             log.warning("discovery_poll_timed_out endpoints=kept")
         self._has_timed_out = True
--- a/api_gateway/network/discovery_codec.py
+++ b/api_gateway/network/discovery_codec.py
@@ -84,7 +84,7 @@
     name = entry.get("instanceId")
     if not isinstance(name, str) or not name:
         raise MalformedEndpointListError("an instance without instanceId")
-    # A lifecycle that a later version of discovery may add is not known to take new requests.
+    # An unknown lifecycle, such as one of a later version of discovery, may not accept new requests.
     status = STATUS_BY_LIFECYCLE.get(entry.get("lifecycle"), EndpointStatus.DRAINING)
     address = None if status is EndpointStatus.REMOVED else _parse_address(name, entry)
     try:
--- a/api_gateway/network/discovery_policy.py
+++ b/api_gateway/network/discovery_policy.py
@@ -23,7 +23,9 @@
 RESPONSE_TIMEOUT_S = 2.2  # of a poll that does not wait for a change, queued behind other gateways' polls
 LONG_POLL_MS = 2000  # how long a poll waits for a change
 LONG_POLL_MARGIN_S = 0.6  # beyond LONG_POLL_MS; discovery has served the poll before it waited
-CATCH_UP_POLL_MS = 1  # the first poll after a failure does not wait, so that silence shows at once
+CATCH_UP_POLL_MS = (
+    1  # the first poll after a failure does not wait, so that a missing response is detected at once
+)
 AGENT_TIMEOUT_S = 0.2  # to connect, and beyond the wait of a poll
 FULL_LIST_TIMEOUT_S = 30.0  # of a full list while more of it arrives
 PROGRESS_TIMEOUT_S = 0.6  # between two parts of it
@@ -51,8 +53,8 @@
     def for_settings(cls, settings: Settings, max_poll_interval_ms: float) -> PollPolicy:
         """Return the policy of one gateway.
 
-        The service works on polls that have timed out, too. A whole fleet that polls at once would keep it
-        busy with those, so the first polls are spread, but over no more than a cycle.
+        The service also serves polls that have timed out. If the whole fleet polled at once, it would serve
+        mostly those, so the first polls are spread, but over no more than a cycle.
 
         Args:
             settings: The settings of the gateway.
--- a/api_gateway/network/dispatcher.py
+++ b/api_gateway/network/dispatcher.py
@@ -48,7 +48,7 @@
 
     Attributes:
         settings: The settings of the configuration.
-        endpoints_known: Set once discovery has sent a list, or has been waited for long enough.
+        endpoints_known: Set once discovery has sent a list, or has not answered in time.
         draining: Whether the process is shutting down; set from outside.
         terminated: Whether all pending requests have been failed and no new ones are accepted.
     """
@@ -85,7 +85,7 @@
             loop=self._loop,
             address=configuration.discovery,
             on_update=self._endpoints_updated,
-            # Apart from the generator of the decisions, whose draws must depend on their events alone.
+            # Not the generator of the decisions, whose draws must depend on their events only.
             rng=random.Random(configuration.seed ^ 1),
             known_generation=cached.generation if cached.endpoints else None,
             policy=PollPolicy.for_settings(configuration.settings, configuration.max_poll_interval_ms),
@@ -112,8 +112,8 @@
         if self._counter is not None:
             self._counter.start()
         self._lag.start()
-        # An agent on this machine, which pushes the list, has it at once. Where discovery is polled, its
-        # answer may take long, and clients are not kept waiting for it.
+        # An agent on this machine answers at once. Where discovery is polled, its answer may take long, and
+        # clients are accepted before it.
         timeout_s = 0.0 if self.settings.discovery_by_polling else ENDPOINT_LIST_TIMEOUT_S
         self._loop.call_later(timeout_s, self.endpoints_known.set)
 
@@ -131,7 +131,10 @@
             self._counter.change_address(configuration.counter)
 
     def is_ready(self) -> bool:
-        """Whether requests can be served: endpoints are known, from discovery if it has answered in time."""
+        """Return whether requests can be served.
+
+        Endpoints must be known, from discovery if it has answered in time.
+        """
         if self.draining or not self._pool.endpoint_names():
             return False
         return self._discovery_answered or time.monotonic() - self._started_at > ENDPOINT_LIST_TIMEOUT_S
@@ -156,7 +159,7 @@
         return self._request_handler.submit(client, inbound)
 
     def client_disconnected(self, request_id: str) -> None:
-        """Close a request whose client has gone."""
+        """Close a request whose client has disconnected."""
         self._request_handler.client_disconnected(request_id)
 
     # --- Endpoints ----------------------------------------------------------------------------------------
@@ -232,13 +235,19 @@
                 log.info("%s", action.text)
 
     def _reject_request(self, action: RejectRequest) -> None:
+        if log.isEnabledFor(logging.DEBUG):
+            self._log_rejection(action)
+        self._request_handler.respond(action.request_id, 503, retry_after_ms=action.retry_after_ms)
+
+    def _log_rejection(self, action: RejectRequest) -> None:
+        request = self._request_handler.requests.get(action.request_id)
         log.debug(
-            "request_rejected request_id=%s reason=%s retry_after_ms=%.0f",
+            "request_rejected request_id=%s x_request_id=%s reason=%s retry_after_ms=%.0f",
             action.request_id,
+            request.inbound.x_request_id() if request is not None else "",
             action.reason.value,
             action.retry_after_ms,
         )
-        self._request_handler.respond(action.request_id, 503, retry_after_ms=action.retry_after_ms)
 
     def _increment_counter(self, action: IncrementCounter) -> None:
         if self._counter is None:
--- a/api_gateway/network/downstream/connection.py
+++ b/api_gateway/network/downstream/connection.py
@@ -25,12 +25,12 @@
 READY_PATH = b"/ready"
 API_PATH_PREFIX = b"/api/"
 MAX_REQUEST_WIRE_BYTES = MAX_HEADER_BYTES + 2 * MAX_BODY_BYTES  # with the chunk lines of the body
-MAX_PIPELINED_REQUESTS = 16  # that wait behind the one in flight
+MAX_PIPELINED_REQUESTS = 16  # queued behind the one in flight
 MAX_LINGER_BYTES = 1024 * 1024
 REQUEST_READ_TIMEOUT_S = 2.0  # for a whole request; for the first one from the connect on
 IDLE_TIMEOUT_S = 4.0  # after a response
 LINGER_TIMEOUT_S = 1.0  # from the last response to the abort, if the client does not close
-FIRST_REQUEST_GRACE_S = 0.1  # during shutdown: the first request may be on its way for so long
+FIRST_REQUEST_TRANSIT_S = 0.1  # during shutdown, a first request may be in transit for this long
 
 
 class DownstreamConnection(asyncio.Protocol):
@@ -38,7 +38,8 @@
 
     Its requests are served one at a time, in their order (pipelining, RFC 9112 section 9.3.2):
 
-    * Reading: bytes go to the parser, and complete requests into a queue. Reading pauses while any waits.
+    * Reading: bytes go to the parser, and complete requests into a queue. Reading pauses while a request is
+      queued.
     * Awaiting a response: the first request of the queue has been taken out; `respond` ends this.
     * Discarding input: after the last response, or once the input cannot be parsed. What still arrives is
       read and discarded up to a limit of bytes and time: a close with unread data would reset the connection,
@@ -47,14 +48,14 @@
     Attributes:
         transport: The transport, once connected.
         has_responded: Whether at least one response has been written.
-        waiting_since_s: Loop time at which the connection was opened, its last response was written, or the
+        receiving_since_s: Loop time at which the connection was opened, its last response was written, or the
             request that is being read began, whichever came last.
     """
 
     def __init__(self, listener: Listener) -> None:
         self.transport: asyncio.Transport | None = None
         self.has_responded = False
-        self.waiting_since_s = 0.0
+        self.receiving_since_s = 0.0
         self._listener = listener
         self._dispatcher = listener.dispatcher
         self._parser = httptools.HttpRequestParser(self)
@@ -84,7 +85,7 @@
                 self.transport.abort()
             return
         if self._incoming is None and not self._awaiting_response and self.has_responded:
-            self._listener.connection_waiting(self)  # the request read timeout runs from here
+            self._listener.connection_receiving(self)  # the request read timeout runs from here
         self._parse(data)
         self._serve_queue()
 
@@ -93,15 +94,15 @@
         self._writing_paused = True
 
     def resume_writing(self) -> None:
-        """Go on with the requests that wait."""
+        """Continue with the queued requests."""
         self._writing_paused = False
         self._serve_queue()
 
     def eof_received(self) -> None:
-        """Let the transport close: a client that ends its side has gone."""
+        """Let the transport close: a client that ends its side is taken as disconnected."""
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the dispatcher that nobody waits for the response any more."""
+        """Report to the dispatcher that nobody waits for the response any more."""
         self._listener.connection_closed(self)
         self._discarding_input = True
         self._queue.clear()
@@ -112,7 +113,7 @@
     # httptools; what these callbacks raise becomes the context of an HttpParserError
 
     def on_message_begin(self) -> None:
-        """Begin a request, unless too many wait already."""
+        """Begin a request, unless too many are queued already."""
         if len(self._queue) > MAX_PIPELINED_REQUESTS:
             raise BadRequestError("too many pipelined requests")
         self._incoming = ParsedRequest()
@@ -169,7 +170,7 @@
             cause = error.__context__
             self._reject(cause if isinstance(cause, BadRequestError) else BadRequestError("malformed"))
         else:
-            # Bounds what the parser keeps or skips on its own, such as a header or chunk line without an end.
+            # Bounds what the parser buffers or skips itself, such as a header or chunk line without an end.
             is_reading_head = self._incoming is not None and not self._incoming.method
             if self._received_bytes > (MAX_HEADER_BYTES if is_reading_head else MAX_REQUEST_WIRE_BYTES):
                 self._reject(BadRequestError("message is too long"))
@@ -182,7 +183,7 @@
             self._queue.append(error)
 
     def _serve_queue(self) -> None:
-        """Serve the requests that wait, one at a time; read on only while none waits."""
+        """Serve the queued requests one at a time; reading is paused while any is queued."""
         if self._serving_queue or self.transport is None:
             return
         self._serving_queue = True
@@ -252,21 +253,24 @@
             return
         keep_alive = self._keep_alive and not self._dispatcher.draining
         self.transport.write(serialize_response(status, body, content_type, retry_after_ms, keep_alive))
-        # After the write: a connection that waits may be evicted unless its response is still unsent.
-        self._listener.connection_waiting(self)
+        # After the write: a connection that is receiving may be evicted unless its response is still unsent.
+        self._listener.connection_receiving(self)
         if not keep_alive:
             self._close_after_response(status)
         self._serve_queue()
 
     def _respond_to_bad_request(self, error: BadRequestError) -> None:
-        self._keep_alive = False  # a client that floods has to reconnect for each bad request
+        self._keep_alive = False  # so that a client has to reconnect for each bad request
         self.respond(error.status)
 
-    def has_disconnected(self) -> bool:
-        """Return whether the client has closed the connection, and if so, abort it.
+    def abort_if_disconnected(self) -> bool:
+        """Abort the connection if the client has closed it.
 
-        The socket is asked, since nothing is read while requests wait. Without the abort a connection whose
-        reading is paused would never learn of its end.
+        The socket is asked, since nothing is read while requests are queued. While reading is paused, the
+        event loop does not report the end of the connection, so it is aborted here.
+
+        Returns:
+            Whether the client has closed it.
         """
         if not is_closed_by_peer(self.transport):
             return False
@@ -292,7 +296,7 @@
         Args:
             now_s: The loop time. Only called while no response is awaited.
         """
-        waited_s = now_s - self.waiting_since_s
+        waited_s = now_s - self.receiving_since_s
         if self._discarding_input:
             if waited_s > LINGER_TIMEOUT_S:
                 self.transport.abort()
@@ -306,9 +310,9 @@
         return IDLE_TIMEOUT_S if self.has_responded else REQUEST_READ_TIMEOUT_S
 
     def is_idle(self) -> bool:
-        """Return whether no request is in flight, waits, is being read, or lies unread in the kernel.
+        """Return whether no request is in flight, queued, being read, or unread in the kernel.
 
-        To close a connection with an unread request would make it fail at the client.
+        If a connection with an unread request were closed, the request would fail at the client.
         """
         return not (
             self._awaiting_response
@@ -332,5 +336,6 @@
         Args:
             now_s: The loop time.
         """
-        if self.is_idle() and (self.has_responded or now_s - self.waiting_since_s > FIRST_REQUEST_GRACE_S):
+        waited_s = now_s - self.receiving_since_s
+        if self.is_idle() and (self.has_responded or waited_s > FIRST_REQUEST_TRANSIT_S):
             self.transport.close()
--- a/api_gateway/network/downstream/listener.py
+++ b/api_gateway/network/downstream/listener.py
@@ -1,4 +1,4 @@
-"""Accepts connections of clients, bounds their number, and closes those that are silent for too long."""
+"""Accepts connections of clients, bounds their number, and closes those whose timeouts are over."""
 
 from __future__ import annotations
 
@@ -47,9 +47,10 @@
         self.validator = RequestValidator(dispatcher.settings)
         self.connections: set[DownstreamConnection] = set()
         self._max_connections = max_downstream_connections(descriptor_limit)
-        # Connections that await no response, in the order in which they began to wait; used as ordered sets.
-        self._waiting_after_response: dict[DownstreamConnection, None] = {}
-        self._waiting_for_first_request: dict[DownstreamConnection, None] = {}
+        # Connections that await no response, so that only the client may send, in the order of their
+        # `receiving_since_s`; used as ordered sets. They are not all idle: a request may be half read.
+        self._receiving_after_response: dict[DownstreamConnection, None] = {}
+        self._receiving_first_request: dict[DownstreamConnection, None] = {}
         self._socket: socket.socket | None = None
         self._accepting = False
         self._accept_tasks: set[asyncio.Task] = set()
@@ -77,7 +78,7 @@
         return self._socket.getsockname()[:2]
 
     def stop_accepting(self) -> bool:
-        """Accept what waits in the backlog, then close the listening socket.
+        """Accept what is in the backlog, then close the listening socket.
 
         The close resets connections in the backlog, so the socket stays open until all of them are accepted.
 
@@ -106,23 +107,23 @@
     def connection_opened(self, connection: DownstreamConnection) -> None:
         """Add a connection that waits for its first request."""
         self.connections.add(connection)
-        self.connection_waiting(connection)
+        self.connection_receiving(connection)
 
-    def connection_waiting(self, connection: DownstreamConnection) -> None:
-        """Note that a connection awaits no response, and that its timeouts start now."""
-        connection.waiting_since_s = self.loop.time()
+    def connection_receiving(self, connection: DownstreamConnection) -> None:
+        """Note that a connection awaits no response, and start its timeouts."""
+        connection.receiving_since_s = self.loop.time()
         if connection.has_responded:
-            waiting = self._waiting_after_response
+            receiving = self._receiving_after_response
         else:
-            waiting = self._waiting_for_first_request
-        waiting.pop(connection, None)  # so that it is added as the last one
-        waiting[connection] = None
+            receiving = self._receiving_first_request
+        receiving.pop(connection, None)  # so that it is added as the last one
+        receiving[connection] = None
         self._resume_accepting()
 
     def connection_awaiting_response(self, connection: DownstreamConnection) -> None:
         """Note that a connection awaits a response, so that it is neither evicted nor timed out."""
-        self._waiting_after_response.pop(connection, None)
-        self._waiting_for_first_request.pop(connection, None)
+        self._receiving_after_response.pop(connection, None)
+        self._receiving_first_request.pop(connection, None)
 
     def connection_closed(self, connection: DownstreamConnection) -> None:
         """Remove a connection; another one can be accepted."""
@@ -133,7 +134,7 @@
     # Capacity
 
     def _ensure_capacity(self) -> bool:
-        """Return whether one more connection is allowed, after evicting a waiting one if need be."""
+        """Return whether one more connection is allowed, after evicting a receiving one if necessary."""
         if len(self.connections) + len(self._accept_tasks) < self._max_connections:
             return True
         connection = self._find_evictable()
@@ -144,13 +145,13 @@
         return True
 
     def _find_evictable(self) -> DownstreamConnection | None:
-        """Return the connection that loses least if it is aborted.
+        """Return the connection whose abort affects its client least.
 
         One that has had a response comes first: its client repeats the next request on another connection,
         while the first request on a connection that is aborted fails.
         """
-        for waiting in (self._waiting_after_response, self._waiting_for_first_request):
-            for connection in islice(waiting, MAX_EVICTION_CANDIDATES):
+        for receiving in (self._receiving_after_response, self._receiving_first_request):
+            for connection in islice(receiving, MAX_EVICTION_CANDIDATES):
                 if connection.is_evictable():
                     return connection
         return None
@@ -206,6 +207,6 @@
 
     def _enforce_timeouts(self) -> None:
         now_s = self.loop.time()
-        for connection in (*self._waiting_after_response, *self._waiting_for_first_request):
+        for connection in (*self._receiving_after_response, *self._receiving_first_request):
             connection.enforce_timeouts(now_s)
         self.loop.call_later(TIMEOUT_CHECK_INTERVAL_S, self._enforce_timeouts)
--- a/api_gateway/network/downstream/request_parsing.py
+++ b/api_gateway/network/downstream/request_parsing.py
@@ -8,11 +8,11 @@
 
 from api_gateway.errors import GatewayError
 from api_gateway.model.settings import Idempotency, RequestClass, Settings
-from api_gateway.network.dispatcher import InboundRequest
+from api_gateway.network.open_requests import InboundRequest
 
 MAX_HEADER_BYTES = 32 * 1024
 MAX_BODY_BYTES = 64 * 1024
-TENANT_LIMIT = 2**33
+TENANT_LIMIT = 2**33  # the protocol page: tenants are numbers below 2**33, written as 16 hex digits
 
 REQUEST_ID = b"x-request-id"
 REQUEST_CLASS = b"x-class"
--- a/api_gateway/network/open_requests.py
+++ b/api_gateway/network/open_requests.py
@@ -25,8 +25,12 @@
             retry_after_ms: Value of Retry-After in ms; 0 for none.
         """
 
-    def has_disconnected(self) -> bool:
-        """Whether the client has closed its connection, even if the event loop has not reported it yet."""
+    def abort_if_disconnected(self) -> bool:
+        """Abort the connection if the client has closed it, even if the event loop has not reported that yet.
+
+        Returns:
+            Whether the client has closed it.
+        """
 
 
 @dataclass(slots=True)
@@ -61,6 +65,10 @@
     head: bytes
     body: bytes
 
+    def x_request_id(self) -> str:
+        """Return the value of X-Request-Id as text for the log."""
+        return self.wire_id.decode("latin-1")
+
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
@@ -106,7 +114,7 @@
         return self._by_id.get(request_id)
 
     def has_wire_id(self, wire_id: bytes) -> bool:
-        """Whether a request with this X-Request-Id is open."""
+        """Return whether a request with this X-Request-Id is open."""
         return wire_id in self._wire_ids
 
     def add(self, client: Client, inbound: InboundRequest, deadline: float) -> OpenRequest:
--- a/api_gateway/network/request_handler.py
+++ b/api_gateway/network/request_handler.py
@@ -56,7 +56,7 @@
             connect_timeout_ms=configuration.connect_timeout_ms,
             idle_timeout_ms=configuration.idle_timeout_ms,
             attempt_ended=self._attempt_ended,
-            client_waits=self._attempt_is_awaited,
+            close_if_abandoned=self._close_if_attempt_abandoned,
         )
         self._settings = configuration.settings
         self._loop = loop
@@ -101,7 +101,7 @@
         return request.request_id
 
     def client_disconnected(self, request_id: str) -> None:
-        """Close a request whose client has gone."""
+        """Close a request whose client has disconnected."""
         request = self.requests.get(request_id)
         if request is not None and request.client is not None:
             self._close(request)
@@ -114,7 +114,7 @@
         Args:
             request_id: The request.
             status: Status code.
-            retry_after_ms: When the client should come again; 0 to tell nothing.
+            retry_after_ms: When the client may send the request again; 0 for no Retry-After.
         """
         request = self.requests.get(request_id)
         if request is None or request.client is None:
@@ -136,17 +136,27 @@
         client.respond(200, response.body, response.headers.get(b"content-type", b""))
         self._withdraw_unsent_attempts(request)
 
-    def _is_awaited(self, request: OpenRequest | None) -> bool:
-        """Whether a client waits for a response; its socket is asked, as its end may be unread for long."""
+    def _close_if_abandoned(self, request: OpenRequest | None) -> bool:
+        """Close a request whose client has disconnected.
+
+        The client's socket is asked, since the event loop may report the end of the connection much later.
+
+        Returns:
+            Whether no client waits for a response.
+        """
         if request is None or request.client is None:
-            return False
-        if request.client.has_disconnected():
+            return True
+        if request.client.abort_if_disconnected():
             self.client_disconnected(request.request_id)
-        return request.client is not None
+        return request.client is None
 
     def _deadline_reached(self, request: OpenRequest) -> None:
-        """Answer in time, whatever the decisions or a socket do."""
-        log.warning("request_deadline_reached request_id=%s status=504", request.request_id)
+        """Answer a request that has no response when its deadline is reached."""
+        log.warning(
+            "request_deadline_reached request_id=%s x_request_id=%s status=504",
+            request.request_id,
+            request.inbound.x_request_id(),
+        )
         self._answer_timeout(request)
 
     def _answer_timeout(self, request: OpenRequest) -> None:
@@ -155,7 +165,7 @@
             self._post(ClientDisconnected(request.request_id))
 
     def _close(self, request: OpenRequest) -> Client:
-        """End the wait for a response and return who waited."""
+        """Close a request for its client, and return the client."""
         client, request.client = request.client, None
         request.deadline_timer.cancel()
         self.requests.remove_if_finished(request)
@@ -171,15 +181,15 @@
     # --- Attempts -----------------------------------------------------------------------------------------
 
     def start_attempt(self, action: StartAttempt) -> None:
-        """Send an attempt, unless nobody waits for it, its time is over or there were enough."""
+        """Send an attempt, unless nobody waits for it, its time is over or the attempts are used up."""
         request = self.requests.get(action.request_id)
         number = len(request.attempts) if request is not None else 0
         time_left_s = request.deadline - time.monotonic() if request is not None else 0.0
-        is_awaited = self._is_awaited(request)
-        if not is_awaited or time_left_s <= 0 or number >= self._settings.max_attempts:
+        is_abandoned = self._close_if_abandoned(request)
+        if is_abandoned or time_left_s <= 0 or number >= self._settings.max_attempts:
             if request is not None:
                 request.attempts.append(None)
-            self._post_not_started(action, number, is_final=not is_awaited)
+            self._post_not_started(action, number, is_final=is_abandoned)
             return
         timeout_s = min(action.timeout_ms / 1000, time_left_s) if action.timeout_ms else time_left_s
         now = time.monotonic()
@@ -217,15 +227,15 @@
             )
         )
 
-    def _attempt_is_awaited(self, attempt: Attempt) -> bool:
-        return self._is_awaited(self.requests.get(attempt.request_id))
+    def _close_if_attempt_abandoned(self, attempt: Attempt) -> bool:
+        return self._close_if_abandoned(self.requests.get(attempt.request_id))
 
     def _attempt_ended(self, attempt: Attempt, result: AttemptResult, response: Response | None) -> None:
         request = self.requests.get(attempt.request_id)
         request.in_flight -= 1
         now = time.monotonic()
         duration_ms = (now - attempt.started_at) * 1000
-        if response is not None:  # the time for which it lay unread is not the endpoint's
+        if response is not None:  # the time for which it was unread is not the endpoint's
             duration_ms = max(duration_ms - self._lag.lag_ms(now), 0.0)
         units = 0.0
         if result == AttemptResult.OK:
--- a/api_gateway/network/response_parser.py
+++ b/api_gateway/network/response_parser.py
@@ -1,6 +1,6 @@
 """The client side of an HTTP/1.1 connection, shared by endpoints, counter and discovery.
 
-Decides which responses are believed: whether one is complete (RFC 9112, section 6.3), whether it was asked
+Decides which responses are valid: whether one is complete (RFC 9112, section 6.3), whether it was asked
 for, and whether its connection may carry another request (section 9.3).
 """
 
@@ -55,7 +55,7 @@
 
         Args:
             name: Name in lower case.
-            maximum: The largest number that is believed.
+            maximum: The largest number that is accepted.
 
         Returns:
             The number; 0 if the header is missing, malformed, negative or above the maximum.
@@ -123,7 +123,7 @@
             self.transport.abort()
 
     def response_started(self) -> bool:
-        """Whether any byte of the expected response has been received."""
+        """Return whether any byte of the expected response has been received."""
         return self._received_bytes > 0
 
     def received_bytes(self) -> int:
@@ -146,7 +146,7 @@
         if self.transport.is_closing():
             return
         valid = self._parse(data)
-        # A response that was not asked for, such as a second copy behind the first one, would be taken for
+        # A response that was not requested, such as a second copy behind the first one, would be taken for
         # the response to the next request. So none is delivered before all that came with it is parsed.
         complete, self._complete = self._complete, []
         expected = complete[: self._expected]
@@ -202,7 +202,7 @@
         Raises:
             MalformedResponseError: Both or neither of Content-Length and chunked coding are given, or the
                 length is invalid or too large. Without either, the body would end with the connection, and
-                a truncated one could not be told from a complete one (section 8).
+                a truncated one could not be distinguished from a complete one (section 8).
         """
         status = self._parser.get_status_code()
         if status < 200 or status in STATUSES_WITHOUT_BODY:
--- a/api_gateway/network/socket_state.py
+++ b/api_gateway/network/socket_state.py
@@ -1,7 +1,7 @@
-"""What the kernel knows of a connection and the event loop has not delivered yet.
+"""The state of a socket in the kernel, which the event loop may not have reported yet.
 
-A loop delivers data and the end of a connection in its own turn, later under load, and not at all while
-reading is paused. Before an action that cannot be undone (a write, a close) the socket itself is asked.
+The event loop reports data and the end of a connection in a later turn, later still under load, and not at
+all while reading is paused. Before an action that cannot be undone (a write, a close) the socket is polled.
 """
 
 from __future__ import annotations
--- a/api_gateway/network/upstream/attempt.py
+++ b/api_gateway/network/upstream/attempt.py
@@ -56,13 +56,13 @@
         """Return the request as it is written.
 
         Args:
-            now: Time of the write; `X-Deadline` tells the endpoint what is left of the time then.
+            now: Time of the write; `X-Deadline` gives the time that is left then.
         """
         time_left_ms = max((self.deadline - now) * 1000, 1)
         return b"%bX-Deadline: %dm\r\n\r\n%b" % (self.head, time_left_ms, self.body)
 
     def has_unsent_bytes(self) -> bool:
-        """Whether its last byte has not left this process, so that the endpoint cannot have run it."""
+        """Return whether its last byte has not left this process, so that the endpoint cannot have run it."""
         return self.connection is None or self.connection.unsent
 
     def abort(self) -> None:
--- a/api_gateway/network/upstream/connection.py
+++ b/api_gateway/network/upstream/connection.py
@@ -40,8 +40,8 @@
         self.reused = self.idle_since > 0
         self.write(attempt.request_bytes(time.monotonic()))
 
-    def is_silent(self) -> bool:
-        """Whether it is open and nothing has come that is unread.
+    def is_reusable(self) -> bool:
+        """Return whether it is open and has no unread data.
 
         Unread data would be taken for the next response. Behind an unread end of the connection, a request
         that is written may have run.
@@ -56,15 +56,15 @@
         self._pool.connection_opened(self)
 
     def response_received(self, response: Response, reusable: bool) -> None:
-        """Pass a response to the pool, unless its attempt has been given up."""
+        """Pass a response to the pool, unless its attempt has been cancelled or has timed out."""
         attempt, self.attempt = self.attempt, None
         if attempt is not None:
             self._pool.response_received(self, attempt, response, reusable)
 
     def malformed_response(self) -> None:
-        """Tell the pool that the response cannot be used."""
+        """Report a response that cannot be used to the pool."""
         self._pool.malformed_response(self)
 
     def connection_closed(self) -> None:
-        """Tell the pool that the connection is gone."""
+        """Report the end of the connection to the pool."""
         self._pool.connection_closed(self)
--- a/api_gateway/network/upstream/endpoint.py
+++ b/api_gateway/network/upstream/endpoint.py
@@ -28,11 +28,11 @@
     idle: list[UpstreamConnection] = field(default_factory=list)
 
     def is_replaced_by(self, address: tuple[str, int], started_at_ms: float) -> bool:
-        """Whether an entry of the endpoint list means another process than this one."""
+        """Return whether an entry of the endpoint list means another process than this one."""
         return self.address != address or started_at_ms > self.started_at_ms
 
-    def pop_settled(self, idle_before: float) -> UpstreamConnection | None:
-        """Remove and return the idle connection that was used last, of those that are settled.
+    def pop_reusable(self, idle_before: float) -> UpstreamConnection | None:
+        """Remove and return the idle connection that was used last, of those that are reusable.
 
         Args:
             idle_before: Event-loop time in s; a connection must have become idle by then, so that bytes
@@ -40,7 +40,7 @@
         """
         for i in range(len(self.idle) - 1, -1, -1):
             connection = self.idle[i]
-            if connection.idle_since <= idle_before and connection.is_silent():
+            if connection.idle_since <= idle_before and connection.is_reusable():
                 del self.idle[i]
                 return connection
         return None
--- a/api_gateway/network/upstream/pool.py
+++ b/api_gateway/network/upstream/pool.py
@@ -9,14 +9,14 @@
 from functools import partial
 
 from api_gateway.model.results import AttemptResult
+from api_gateway.network.clock import TIMEOUT_READ_DELAY_S
 from api_gateway.network.response_parser import Response
 from api_gateway.network.upstream.attempt import Attempt, result_of_response
 from api_gateway.network.upstream.connection import UpstreamConnection
 from api_gateway.network.upstream.endpoint import UpstreamEndpoint
 
 MAX_PENDING_CONNECTS = 64
-READ_GRACE_S = 0.002  # a turn or two of the event loop, in which what has arrived is read
-SETTLE_TIME_S = 0.01  # how long a connection is idle before it is used again
+MIN_IDLE_BEFORE_REUSE_S = 0.01  # how long a connection is idle before it is used again
 IDLE_TIMEOUT_SHARE = 0.5  # part of the endpoints' idle timeout after which a connection is closed
 RETIRE_INTERVAL_S = 1.0
 
@@ -30,7 +30,8 @@
         connect_timeout_ms: How long a connect may take.
         idle_timeout_ms: After how long the endpoints close an idle connection.
         attempt_ended: Called once for each attempt, with its response if it got a complete one.
-        client_waits: Tells whether an attempt's client is still there; called when a connect has succeeded.
+        close_if_abandoned: Closes the request of an attempt if its client has disconnected, and returns
+            whether nobody waits for its response; called when a connect has succeeded.
     """
 
     def __init__(
@@ -41,14 +42,14 @@
         connect_timeout_ms: float,
         idle_timeout_ms: float,
         attempt_ended: Callable[[Attempt, AttemptResult, Response | None], None],
-        client_waits: Callable[[Attempt], bool],
+        close_if_abandoned: Callable[[Attempt], bool],
     ) -> None:
         self._loop = loop
         self._max_connections = max_connections
         self._connect_timeout_s = connect_timeout_ms / 1000
         self._idle_timeout_s = IDLE_TIMEOUT_SHARE * idle_timeout_ms / 1000
         self._attempt_ended = attempt_ended
-        self._client_waits = client_waits
+        self._close_if_abandoned = close_if_abandoned
         self._endpoints: dict[str, UpstreamEndpoint] = {}
         self._connections: set[UpstreamConnection] = set()
         self._pending_connects: dict[Attempt, UpstreamEndpoint] = {}
@@ -112,10 +113,10 @@
         return set(self._endpoints)
 
     def _accepts_new_requests(self, endpoint: UpstreamEndpoint) -> bool:
-        """Whether an endpoint is still the listed process and does not drain.
+        """Return whether an endpoint is still the listed process and does not drain.
 
-        What was decided for an earlier process must not go to its successor, whose budget is that of a cold
-        endpoint.
+        An attempt that was decided for an earlier process must not be sent to its successor, which starts
+        with the budget of a cold endpoint.
         """
         return self._endpoints.get(endpoint.name) is endpoint and not endpoint.draining
 
@@ -134,14 +135,14 @@
         attempt.response_timer = self._loop.call_later(
             max(attempt.deadline - now, 0.0), self._deadline_reached, attempt
         )
-        connection = endpoint.pop_settled(self._loop.time() - SETTLE_TIME_S)
+        connection = endpoint.pop_reusable(self._loop.time() - MIN_IDLE_BEFORE_REUSE_S)
         if connection is not None:
             self._send_on(connection, attempt)
         else:
             self._connect(endpoint, attempt)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Give an attempt up by closing its connection."""
+        """Cancel an attempt by closing its connection."""
         if not attempt.done:
             self._abort(attempt, AttemptResult.CANCELLED)
 
@@ -162,8 +163,8 @@
             )
 
     def _deadline_reached(self, attempt: Attempt) -> None:
-        # The loop runs timers before it reads sockets: after a stall the response may be here, but unread.
-        attempt.response_timer = self._loop.call_later(READ_GRACE_S, self._time_out, attempt)
+        # After a stall the response may have arrived, but be unread.
+        attempt.response_timer = self._loop.call_later(TIMEOUT_READ_DELAY_S, self._time_out, attempt)
 
     def _time_out(self, attempt: Attempt) -> None:
         if attempt.connection is None:
@@ -190,7 +191,7 @@
     # --- Connects -----------------------------------------------------------------------------------------
 
     def _connect(self, endpoint: UpstreamEndpoint, attempt: Attempt) -> None:
-        if len(self._pending_connects) >= MAX_PENDING_CONNECTS or not self._make_room():
+        if len(self._pending_connects) >= MAX_PENDING_CONNECTS or not self._ensure_capacity():
             self._end(attempt, AttemptResult.LOCAL_LIMIT)
             return
         self._pending_connects[attempt] = endpoint
@@ -203,8 +204,8 @@
         )
         self._start_write_timer(attempt)
 
-    def _make_room(self) -> bool:
-        """Keep to the bound on connections, if need be by closing the one that has been idle longest.
+    def _ensure_capacity(self) -> bool:
+        """Keep to the bound on connections; at the bound, close the one that has been idle longest.
 
         Returns:
             Whether one more connection may be opened.
@@ -242,15 +243,18 @@
             self._send_on(connection, attempt)
 
     def _may_still_be_sent(self, attempt: Attempt, endpoint: UpstreamEndpoint) -> bool:
-        """Whether the reasons to send an attempt still hold after its connect."""
+        """Return whether the reasons to send an attempt still hold after its connect.
+
+        Closes the request if its client has disconnected meanwhile.
+        """
         return (
             self._accepts_new_requests(endpoint)
             and time.monotonic() <= attempt.write_deadline
-            and self._client_waits(attempt)
+            and not self._close_if_abandoned(attempt)
         )
 
     def _connect_deadline_reached(self, attempt: Attempt) -> None:
-        attempt.connect_timer = self._loop.call_later(READ_GRACE_S, self._connect_timed_out, attempt)
+        attempt.connect_timer = self._loop.call_later(TIMEOUT_READ_DELAY_S, self._connect_timed_out, attempt)
 
     def _connect_timed_out(self, attempt: Attempt) -> None:
         if attempt.connect_task is not None:
@@ -263,7 +267,7 @@
         self._connections.add(connection)
 
     def connection_closed(self, connection: UpstreamConnection) -> None:
-        """Forget a connection, and end the attempt on it."""
+        """Remove a connection, and end the attempt on it."""
         self._connections.discard(connection)
         endpoint = connection.endpoint
         if connection in endpoint.idle:
@@ -274,7 +278,7 @@
         if connection.unsent:
             self._end(attempt, AttemptResult.NOT_SENT)
         elif connection.reused and not connection.response_started():
-            # The connection used last was dead and the endpoint had not said so: older ones are no better.
+            # The connection used last had ended unnoticed, so the older idle ones are taken for stale, too.
             endpoint.close_idle()
             self._end(attempt, AttemptResult.STALE_CONNECTION)
         else:
--- a/testbed/simulated_gateways.py
+++ b/testbed/simulated_gateways.py
@@ -49,8 +49,8 @@
         """Count the response."""
         self._fleet.response_received(self, status)
 
-    def has_disconnected(self) -> bool:
-        """Return False: the client never disconnects."""
+    def abort_if_disconnected(self) -> bool:
+        """Return False without an abort: the client never disconnects."""
         return False
 
 
--- a/testbed/simulated_pool.py
+++ b/testbed/simulated_pool.py
@@ -51,7 +51,7 @@
         connect_timeout_ms: float,
         idle_timeout_ms: float,
         attempt_ended: Callable[[Attempt, AttemptResult, Response | None], None],
-        client_waits: Callable[[Attempt], bool],
+        close_if_abandoned: Callable[[Attempt], bool],
     ) -> None:
         self._endpoints = endpoints
         self._loop, self._ended = loop, attempt_ended
--- a/tests/support/dispatcher_driver.py
+++ b/tests/support/dispatcher_driver.py
@@ -62,8 +62,8 @@
         self.statuses: asyncio.Queue[int] = asyncio.Queue()
         self.disconnected = False
 
-    def has_disconnected(self) -> bool:
-        """Whether a test has closed its connection."""
+    def abort_if_disconnected(self) -> bool:
+        """Return whether a test has closed its connection; there is nothing to abort."""
         return self.disconnected
 
     def respond(
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import logging
 import os
 import time
 
@@ -19,7 +20,7 @@
     RequestReceived,
     TimerFired,
 )
-from api_gateway.model.results import AttemptResult, CounterResult
+from api_gateway.model.results import AttemptResult, CounterResult, RejectReason
 
 
 def test_deadline_timer_answers_in_time_and_later_actions_are_ignored(
@@ -49,6 +50,45 @@
     run_scenario(scenario)
 
 
+@pytest.mark.parametrize(("level", "lines"), [(logging.DEBUG, 1), (logging.INFO, 0)])
+def test_rejection_is_logged_with_the_id_of_the_client_at_debug_level(
+    monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture, level: int, lines: int
+) -> None:
+    async def scenario() -> None:
+        endpoint = FakeServer(lambda request: None)
+        dispatcher, decisions = await start_dispatcher(monkeypatch, endpoint)
+        client, inbound = RecordingClient(), inbound_request()
+        inbound.wire_id = b"client-7"
+        decisions.next_actions[RequestReceived] = [
+            RejectRequest("r1", retry_after_ms=40.0, reason=RejectReason.OVER_QUOTA)
+        ]
+        with caplog.at_level(level, logger="api_gateway.network.dispatcher"):
+            dispatcher.submit(client, inbound)
+        assert await client.statuses.get() == 503
+        endpoint.stop()
+
+    run_scenario(scenario)
+    line = "request_rejected request_id=r1 x_request_id=client-7 reason=REASON retry_after_ms=40"
+    expected = line.replace("REASON", RejectReason.OVER_QUOTA.value)
+    assert [message for message in caplog.messages if "request_rejected" in message] == [expected] * lines
+
+
+def test_deadline_timer_logs_the_id_of_the_client(
+    monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
+) -> None:
+    async def scenario() -> None:
+        endpoint = FakeServer(lambda request: None)
+        dispatcher, _ = await start_dispatcher(monkeypatch, endpoint)
+        client, inbound = RecordingClient(), inbound_request(50)
+        inbound.wire_id = b"client-7"
+        dispatcher.submit(client, inbound)
+        assert await client.statuses.get() == 504
+        endpoint.stop()
+
+    run_scenario(scenario)
+    assert caplog.messages == ["request_deadline_reached request_id=r1 x_request_id=client-7 status=504"]
+
+
 def test_exception_in_the_decisions_fails_one_request_only(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         endpoint = FakeServer(lambda request: response_bytes(b"served"))
--- a/tests/test_program_upstream.py
+++ b/tests/test_program_upstream.py
@@ -17,7 +17,7 @@
 )
 from support.program import RunningProgram, async_test
 
-from api_gateway.network.upstream.pool import SETTLE_TIME_S
+from api_gateway.network.upstream.pool import MIN_IDLE_BEFORE_REUSE_S
 
 
 @async_test()
@@ -125,7 +125,7 @@
         for i in range(5):
             writer.write(request_bytes(request_id=b"id-%d" % i))
             assert (await read_message(reader, writer)).body == b"served"
-            await asyncio.sleep(5 * SETTLE_TIME_S)
+            await asyncio.sleep(5 * MIN_IDLE_BEFORE_REUSE_S)
         assert len({id(request.writer) for request in program.endpoints[0].received}) == 1
 
 
@@ -144,7 +144,7 @@
     async with RunningProgram(tmp_path, respond) as program:
         for i in range(10):
             assert await program.request_status(request_bytes(request_id=b"id-%d" % i)) == 200
-            await asyncio.sleep(5 * SETTLE_TIME_S)
+            await asyncio.sleep(5 * MIN_IDLE_BEFORE_REUSE_S)
         assert not any("endpoint_ejected" in line for line in program.log)
         assert len(program.endpoints[0].received) == 19  # each but the first found its connection reset once
 
@@ -207,7 +207,7 @@
         if not late:
             return response + more
         request.writer.write(response)
-        asyncio.get_running_loop().call_later(SETTLE_TIME_S / 4, request.writer.write, more)
+        asyncio.get_running_loop().call_later(MIN_IDLE_BEFORE_REUSE_S / 4, request.writer.write, more)
         return None
 
     async with RunningProgram(tmp_path, respond) as program:
