--- a/api_gateway/shutdown.py
+++ b/api_gateway/shutdown.py
@@ -2,9 +2,9 @@
 
 1. At the signal, the gateway drains: it reports that it is not ready, and closes each connection with the
    response to its request. New connections are still accepted, since clients learn of the drain late.
-2. After ACCEPT_GRACE_S, it stops accepting once the backlog is empty, and closes idle connections. Both are
-   checked every CHECK_INTERVAL_S. When no connection is left, every request has its response, and the
-   shutdown is finished.
+2. After ACCEPT_AFTER_SIGNAL_S, it stops accepting once the backlog is empty, and closes idle connections.
+   Both are checked every CHECK_INTERVAL_S. When no connection is left, every request has its response, and
+   the shutdown is finished.
 3. If requests are still in flight after the longest deadline of a request class (MAX_DRAIN_S at most) and
    DRAIN_MARGIN_S, they are answered as failed. A killed process could not answer them.
 4. After FLUSH_S more, in which these responses leave, the shutdown is finished in any case.
@@ -20,7 +20,7 @@
 from api_gateway.network.dispatcher import Dispatcher
 from api_gateway.network.downstream.listener import Listener
 
-ACCEPT_GRACE_S = 0.5  # clients may connect for 0.4 s after the signal
+ACCEPT_AFTER_SIGNAL_S = 0.5  # clients may connect for 0.4 s after the signal
 CHECK_INTERVAL_S = 0.02
 MAX_DRAIN_S = 3.0
 DRAIN_MARGIN_S = 0.4
@@ -47,7 +47,7 @@
             return
         lifecycle_log.info("draining timeout_s=%.1f", self._drain_timeout_s)
         self._dispatcher.draining = True
-        self._loop.call_later(ACCEPT_GRACE_S, self._close_connections)
+        self._loop.call_later(ACCEPT_AFTER_SIGNAL_S, self._close_connections)
         self._loop.call_later(self._drain_timeout_s, self._fail_pending_requests)
 
     def _close_connections(self) -> None:
--- a/tests/test_program_downstream.py
+++ b/tests/test_program_downstream.py
@@ -241,7 +241,7 @@
 
 
 @async_test(limit_s=10)
-async def test_waiting_connections_are_evicted_for_new_ones(tmp_path: Path) -> None:
+async def test_connections_without_a_request_in_flight_are_evicted_for_new_ones(tmp_path: Path) -> None:
     """Silent ones, ones with half a request, and idle ones; not one whose request is in flight."""
     async with RunningProgram(tmp_path, stay_silent, sockets=128) as program:
         (endpoint,) = program.endpoints
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -72,7 +72,7 @@
     return loop, dispatcher, listener, shutdown
 
 
-def test_connections_are_accepted_for_the_grace_and_then_closed() -> None:
+def test_connections_are_accepted_after_the_signal_and_then_closed() -> None:
     loop, dispatcher, listener, shutdown = start_shutdown()
     assert dispatcher.draining and not shutdown.finished.is_set()
     loop.run_until(shutdown.finished.is_set)
