--- a/api_gateway/logs.py
+++ b/api_gateway/logs.py
@@ -21,7 +21,7 @@
 class RateLimitFilter(logging.Filter):
     """Drops lines beyond a rate, and writes how many were dropped when the next second has a line.
 
-    Lines of `lifecycle_log` are few, and whoever starts a gateway waits for them: they are not limited.
+    Lines of `lifecycle_log` are few, and programs that start a gateway wait for them: they are not limited.
     """
 
     def __init__(self) -> None:
--- a/api_gateway/network/discovery_policy.py
+++ b/api_gateway/network/discovery_policy.py
@@ -23,9 +23,7 @@
 RESPONSE_TIMEOUT_S = 2.2  # of a poll that does not wait for a change, queued behind other gateways' polls
 LONG_POLL_MS = 2000  # how long a poll waits for a change
 LONG_POLL_MARGIN_S = 0.6  # beyond LONG_POLL_MS; discovery has served the poll before it waited
-CATCH_UP_POLL_MS = (
-    1  # the first poll after a failure does not wait, so that a missing response is detected at once
-)
+CATCH_UP_POLL_MS = 1  # the first poll after a failure does not wait: a missing response is detected at once
 AGENT_TIMEOUT_S = 0.2  # to connect, and beyond the wait of a poll
 FULL_LIST_TIMEOUT_S = 30.0  # of a full list while more of it arrives
 PROGRESS_TIMEOUT_S = 0.6  # between two parts of it
--- a/api_gateway/network/upstream/pool.py
+++ b/api_gateway/network/upstream/pool.py
@@ -16,7 +16,7 @@
 from api_gateway.network.upstream.endpoint import UpstreamEndpoint
 
 MAX_PENDING_CONNECTS = 64
-MIN_IDLE_BEFORE_REUSE_S = 0.01  # how long a connection is idle before it is used again
+MIN_IDLE_BEFORE_REUSE_S = 0.01  # so that bytes behind the last response, if any, can arrive
 IDLE_TIMEOUT_SHARE = 0.5  # part of the endpoints' idle timeout after which a connection is closed
 RETIRE_INTERVAL_S = 1.0
 
@@ -278,7 +278,7 @@
         if connection.unsent:
             self._end(attempt, AttemptResult.NOT_SENT)
         elif connection.reused and not connection.response_started():
-            # The connection used last had ended unnoticed, so the older idle ones are taken for stale, too.
+            # The connection used last had ended unnoticed, so the idle ones, which are older, count as stale.
             endpoint.close_idle()
             self._end(attempt, AttemptResult.STALE_CONNECTION)
         else:
