--- a/api_gateway/decisions/gateway.py
+++ b/api_gateway/decisions/gateway.py
@@ -58,7 +58,7 @@
     """The decisions of one gateway.
 
     Args:
-        settings: What the gateway is told when it starts.
+        settings: The settings of the gateway.
         seed: Seed of its random draws.
 
     Raises:
--- a/api_gateway/model/actions.py
+++ b/api_gateway/model/actions.py
@@ -31,7 +31,7 @@
 
     Attributes:
         request_id: The request.
-        retry_after_ms: When the client should come again; 0 to tell nothing.
+        retry_after_ms: When the client should come again; 0 for no hint.
         reason: Why it is rejected.
     """
 
--- a/api_gateway/model/results.py
+++ b/api_gateway/model/results.py
@@ -10,7 +10,11 @@
 
 
 class AttemptResult(Enum):
-    """How one attempt ended; `never_ran` tells whether that proves that the request never ran."""
+    """How one attempt ended.
+
+    Attributes:
+        never_ran: Whether the result proves that the request never ran.
+    """
 
     OK = "ok"
     ERROR = "error"
--- a/api_gateway/model/settings.py
+++ b/api_gateway/model/settings.py
@@ -1,4 +1,4 @@
-"""What a gateway is told when it starts: request classes, plans, limits of the fleet and of its endpoints."""
+"""Settings of the decisions: request classes, plans, limits of the fleet and of its endpoints."""
 
 from __future__ import annotations
 
@@ -41,14 +41,14 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """A class of requests: how soon it is wanted, what it is worth, whether it may run again.
+    """A class of requests: its latency objective, its priority, and whether it may run again.
 
     Attributes:
         name: As requests name it.
         latency_objective_ms: Time within which an answer earns its full weight.
         deadline_ms: Longest time for which a client waits.
-        priority_weight: What an answer within the objective is worth, for one unit.
-        late_priority_weight: What a later answer is worth.
+        priority_weight: Value of a response within the objective, for one unit.
+        late_priority_weight: Value of a later response.
         idempotency: Whether a request may be sent again after it may have run.
         idempotency_key_scope: Which endpoints know a key that one of them has seen.
         idempotency_window_ms: How long endpoints remember a key.
@@ -97,7 +97,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What one gateway is told when it starts.
+    """Settings of one gateway, given at its start.
 
     Attributes:
         classes: The request classes.
@@ -115,7 +115,7 @@
         counter_enabled: Whether the counter service may be called.
         max_request_units: Units of the largest request.
         counter_timeout_ms: How long the answer to a counter call is waited for.
-        actual_units_reported: Whether answers tell the units that were used.
+        actual_units_reported: Whether responses report the units that were used.
         usage_report_period_ms: Spacing of the usage figures that endpoints report.
         idle_connection_timeout_ms: Endpoints close connections that are idle for so long.
         clock_tick_ms: Resolution of the clock.
