--- a/api_gateway/decisions/tenants.py
+++ b/api_gateway/decisions/tenants.py
@@ -53,10 +53,12 @@
         self.in_flight = 0
         self.seen_at_ms = 0.0
         self._window_phase = window_phase
+        # Worked out once: the sweep asks for it of many tenants.
+        self._window_length_ms = window_length_ms(plan) if plan.quota_rate > 0 else 0.0
 
     def window_at(self, now_ms: float) -> tuple[int, float]:
         """Return the number of the quota window at a time, and when it began."""
-        length_ms = window_length_ms(self.plan)
+        length_ms = self._window_length_ms
         position = now_ms / length_ms + self._window_phase
         return int(position), now_ms - position % 1 * length_ms
 
@@ -72,7 +74,7 @@
 
     def is_idle(self, now_ms: float) -> bool:
         """Whether it has sent nothing for so long that it may be forgotten."""
-        memory_ms = window_length_ms(self.plan) if self.plan.quota_rate > 0 else RATE_MEMORY_MS
+        memory_ms = self._window_length_ms or RATE_MEMORY_MS
         is_unseen = now_ms - self.seen_at_ms >= FORGET_AFTER_WINDOWS * memory_ms
         return is_unseen and self.may_be_forgotten(now_ms)
 
