--- a/api_gateway/__main__.py
+++ b/api_gateway/__main__.py
@@ -74,7 +74,7 @@
 
 async def _start_up(dispatcher: Dispatcher, listener: Listener, address: Address) -> None:
     dispatcher.start()
-    await dispatcher.endpoints_known.wait()  # clients are accepted once endpoints are known
+    await dispatcher.startup_complete.wait()  # clients are accepted once endpoints are known
     try:
         host, port = listener.start(address)
     except OSError as error:
--- a/api_gateway/network/clock.py
+++ b/api_gateway/network/clock.py
@@ -9,9 +9,9 @@
 # timeout is acted on this long after its timer, which is a turn or two of the loop.
 TIMEOUT_READ_DELAY_S = 0.002
 
-INTERVAL_S = 0.05
+LAG_CHECK_INTERVAL_S = 0.05
 MIN_LAG_MS = 5.0  # less than this is ordinary jitter
-RESET_DELAY_S = 0.001
+LAG_RESET_DELAY_S = 0.001
 
 
 class Clock:
@@ -26,7 +26,7 @@
 
 
 class EventLoopLag:
-    """Measures the lag of the event loop with a timer that is due every `INTERVAL_S`.
+    """Measures the lag of the event loop with a timer that is due every `LAG_CHECK_INTERVAL_S`.
 
     After a stall the lag is kept until the sockets have been read: data read then may have been unread for as
     long.
@@ -35,12 +35,12 @@
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
         self._lag_ms = 0.0
-        self._due_at = time.monotonic() + INTERVAL_S
+        self._due_at = time.monotonic() + LAG_CHECK_INTERVAL_S
 
     def start(self) -> None:
         """Begin to measure."""
-        self._due_at = time.monotonic() + INTERVAL_S
-        self._loop.call_later(INTERVAL_S, self._measure)
+        self._due_at = time.monotonic() + LAG_CHECK_INTERVAL_S
+        self._loop.call_later(LAG_CHECK_INTERVAL_S, self._measure)
 
     def lag_ms(self, now: float) -> float:
         """Return how long, at most, data that is read now has been unread, in ms.
@@ -57,9 +57,9 @@
         overdue_ms = (now - self._due_at) * 1000
         if overdue_ms > MIN_LAG_MS:
             self._lag_ms = overdue_ms
-            self._loop.call_later(RESET_DELAY_S, self._reset)
-        self._due_at = now + INTERVAL_S
-        self._loop.call_later(INTERVAL_S, self._measure)
+            self._loop.call_later(LAG_RESET_DELAY_S, self._reset)
+        self._due_at = now + LAG_CHECK_INTERVAL_S
+        self._loop.call_later(LAG_CHECK_INTERVAL_S, self._measure)
 
     def _reset(self) -> None:
         self._lag_ms = 0.0
--- a/api_gateway/network/counter.py
+++ b/api_gateway/network/counter.py
@@ -79,34 +79,34 @@
     def _assign(self, call: CounterCall) -> None:
         usable = [connection for connection in self._connections if connection.is_usable()]
         if usable:
-            min(usable, key=self._load).submit(call)
+            min(usable, key=self._connection_load).submit(call)
         else:
             self._report(call, CounterResult.CONNECT_FAILED)
 
-    def _load(self, connection: CounterConnection) -> int:
+    def _connection_load(self, connection: CounterConnection) -> int:
         """Return the calls in flight, counting one that is not established as more heavily loaded."""
         return connection.calls_in_flight + (0 if connection.is_connected else self._connection_count)
 
-    def _report(self, call: CounterCall, result: CounterResult, total: float = 0.0) -> None:
+    def _report(self, call: CounterCall, result: CounterResult, counter_value: float = 0.0) -> None:
         if call.is_done:
             return
         call.is_done = True
         if call.timer is not None:
             call.timer.cancel()
         duration_ms = (self._loop.time() - call.started_at) * 1000
-        self._on_reply(CounterReply(call.action.name, result, total, duration_ms))
+        self._on_reply(CounterReply(call.action.name, result, counter_value, duration_ms))
 
     def _on_timeout(self, call: CounterCall) -> None:
         # A stalled loop fires this timer before it reads a response that has arrived in time.
-        call.timer = self._loop.call_later(COUNTER_READ_DELAY_S, self._on_read_delay_over, call)
+        call.timer = self._loop.call_later(COUNTER_READ_DELAY_S, self._on_read_delay_elapsed, call)
 
-    def _on_read_delay_over(self, call: CounterCall) -> None:
-        if call.is_written and self._is_only_its_connection_silent(call):
+    def _on_read_delay_elapsed(self, call: CounterCall) -> None:
+        if call.is_written and self._is_single_connection_failure(call):
             call.connection.close_and_replace()
             return
         self._report(call, CounterResult.TIMED_OUT if call.is_written else CounterResult.CONNECT_FAILED)
 
-    def _is_only_its_connection_silent(self, call: CounterCall) -> bool:
+    def _is_single_connection_failure(self, call: CounterCall) -> bool:
         """Return whether the connection of a late call is silent while the counter answers on others.
 
         A network path or a proxy may fail for a single connection. If the calls on it were reported as timed
@@ -114,9 +114,9 @@
         connection, and a counter that is down answers on none.
         """
         others = [connection for connection in self._connections if connection is not call.connection]
-        late = self._loop.time() - self._timeout_s / 2
+        late_before = self._loop.time() - self._timeout_s / 2
         return (
             call.connection.is_silent_since(call.started_at)
             and any(not other.is_silent_since(call.started_at) for other in others)
-            and not any(other.has_call_before(late) for other in others)
+            and not any(other.has_call_started_before(late_before) for other in others)
         )
--- a/api_gateway/network/counter_connection.py
+++ b/api_gateway/network/counter_connection.py
@@ -11,7 +11,11 @@
 from api_gateway.model.actions import IncrementCounter
 from api_gateway.model.results import CounterResult
 from api_gateway.network.address import Address
-from api_gateway.network.counter_codec import STATUSES_WITHOUT_INCREMENT, decode_total, encode_increment
+from api_gateway.network.counter_codec import (
+    STATUSES_WITHOUT_INCREMENT,
+    decode_counter_value,
+    encode_increment,
+)
 from api_gateway.network.response_parser import Response, ResponseProtocol
 
 log = logging.getLogger(__name__)
@@ -66,12 +70,12 @@
         self._address = address
         self._on_result = on_result
         self._protocol: CounterProtocol | None = None
-        self._connecting: asyncio.Task | None = None
+        self._connect_task: asyncio.Task | None = None
         self._connect_timer: asyncio.TimerHandle | None = None
         self._silence_timer: asyncio.TimerHandle | None = None
         self._reconnect_timer: asyncio.TimerHandle | None = None
         self._calls: deque[CounterCall] = deque()
-        self._failures = 0  # in a row
+        self._consecutive_failures = 0
         self._last_response_at = 0.0
         self._backoff_until = 0.0
         self._is_retired = False  # closes with its last call, and is not replaced
@@ -96,25 +100,25 @@
         """
         if self._protocol is not None:
             return not self._protocol.transport.is_closing()
-        return self._connecting is not None or self._loop.time() >= self._backoff_until
+        return self._connect_task is not None or self._loop.time() >= self._backoff_until
 
-    def is_silent_since(self, then: float) -> bool:
+    def is_silent_since(self, loop_time: float) -> bool:
         """Return whether no response has arrived since a time of the loop's clock."""
-        return self._last_response_at < then
+        return self._last_response_at < loop_time
 
-    def has_call_before(self, then: float) -> bool:
+    def has_call_started_before(self, loop_time: float) -> bool:
         """Return whether a call made before a time of the loop's clock is still in flight."""
-        return bool(self._calls) and self._calls[0].started_at < then
+        return bool(self._calls) and self._calls[0].started_at < loop_time
 
     # --- Commands ------------------------------------------------------------------------------------------
 
     def connect(self) -> None:
         """Establish the connection."""
-        self._connecting = self._loop.create_task(
+        self._connect_task = self._loop.create_task(
             self._loop.create_connection(lambda: CounterProtocol(self), *self._address)
         )
-        self._connecting.add_done_callback(self._on_connect_done)
-        self._connect_timer = self._loop.call_later(CONNECT_TIMEOUT_S, self._connecting.cancel)
+        self._connect_task.add_done_callback(self._on_connect_done)
+        self._connect_timer = self._loop.call_later(CONNECT_TIMEOUT_S, self._connect_task.cancel)
 
     def submit(self, call: CounterCall) -> None:
         """Write a call, as soon as the connection is established.
@@ -126,7 +130,7 @@
         call.connection = self
         if self._protocol is not None:
             self._write(call)
-        elif self._connecting is None:
+        elif self._connect_task is None:
             self.connect()
 
     def stop(self) -> None:
@@ -134,8 +138,8 @@
         self._is_retired = True
         if self._reconnect_timer is not None:
             self._reconnect_timer.cancel()
-        if self._connecting is not None:
-            self._connecting.cancel()
+        if self._connect_task is not None:
+            self._connect_task.cancel()
         if self._protocol is not None:
             self._protocol.abort()
 
@@ -171,7 +175,7 @@
         Args:
             protocol: The protocol of the new connection.
         """
-        self._connecting = None
+        self._connect_task = None
         self._connect_timer.cancel()
         self._protocol = protocol
         if self._is_retired:
@@ -182,38 +186,38 @@
         for call in self._calls:
             self._write(call)
 
-    def handle_flushed(self) -> None:
+    def handle_write_completed(self) -> None:
         """Mark all calls as written, when the last byte has left this process."""
         for call in self._calls:
             call.is_written = True
 
-    def handle_response(self, response: Response, reusable: bool) -> None:
+    def handle_response(self, response: Response, is_reusable: bool) -> None:
         """Report the result of the oldest call.
 
         Args:
             response: The response to it.
-            reusable: Whether the connection can carry another call.
+            is_reusable: Whether the connection can carry another call.
         """
-        self._failures = 0
+        self._consecutive_failures = 0
         self._last_response_at = self._loop.time()
-        total = decode_total(response)
-        if total is None and response.status not in STATUSES_WITHOUT_INCREMENT:
+        counter_value = decode_counter_value(response)
+        if counter_value is None and response.status not in STATUSES_WITHOUT_INCREMENT:
             # The counter may have added, but the responses behind this one cannot be relied on.
             self.handle_malformed_response()
             return
         call = self._calls.popleft()
-        if not reusable or (self._is_retired and not self._calls):
+        if not is_reusable or (self._is_retired and not self._calls):
             self._protocol.abort()  # before the result is reported, which may lead to the next call
-        self._report_response(call, total)
+        self._report_response(call, counter_value)
 
-    def _report_response(self, call: CounterCall, total: float | None) -> None:
-        if total is None:
+    def _report_response(self, call: CounterCall, counter_value: float | None) -> None:
+        if counter_value is None:
             self._on_result(call, CounterResult.OVERLOADED, 0.0)
         elif self._is_retired:
             # The total of a counter that was replaced cannot be compared with those of the new one.
             self._on_result(call, CounterResult.MALFORMED_RESPONSE, 0.0)
         else:
-            self._on_result(call, CounterResult.OK, total)
+            self._on_result(call, CounterResult.OK, counter_value)
 
     def handle_malformed_response(self) -> None:
         """Close the connection: no response behind a malformed one can be matched to its call."""
@@ -230,7 +234,7 @@
 
     def _write(self, call: CounterCall) -> None:
         self._protocol.write(encode_increment(call.action))
-        call.is_written = not self._protocol.unsent
+        call.is_written = not self._protocol.has_unsent_data
         if self._silence_timer is None:
             self._silence_timer = self._loop.call_later(RESPONSE_TIMEOUT_S, self._check_silence)
 
@@ -238,24 +242,24 @@
         self._silence_timer = None
         if not self._calls or self._protocol is None:
             return
-        left_s = self._calls[0].started_at + RESPONSE_TIMEOUT_S - self._loop.time()
-        if left_s > 0:
-            self._silence_timer = self._loop.call_later(left_s, self._check_silence)
+        remaining_s = self._calls[0].started_at + RESPONSE_TIMEOUT_S - self._loop.time()
+        if remaining_s > 0:
+            self._silence_timer = self._loop.call_later(remaining_s, self._check_silence)
         else:
             self._protocol.abort()
 
     def _on_connect_done(self, task: asyncio.Task) -> None:
         has_failed = task.cancelled() or task.exception() is not None
-        if task is self._connecting and has_failed:
-            self._connecting = None
+        if task is self._connect_task and has_failed:
+            self._connect_task = None
             self._connect_timer.cancel()
             self._handle_failure()
 
     def _handle_failure(self) -> None:
-        self._failures += 1
+        self._consecutive_failures += 1
         delay_s = 0.0
-        if self._failures > 1:
-            delay_s = _backoff_s(self._failures)
+        if self._consecutive_failures > 1:
+            delay_s = _backoff_s(self._consecutive_failures)
             self._backoff_until = self._loop.time() + delay_s
         if not self._is_retired:
             self._reconnect_timer = self._loop.call_later(delay_s, self._reconnect)
@@ -263,7 +267,7 @@
 
     def _reconnect(self) -> None:
         # Not only at the next call: until it is established, calls share the connections that remain.
-        if self._protocol is None and self._connecting is None and not self._is_retired:
+        if self._protocol is None and self._connect_task is None and not self._is_retired:
             self.connect()
 
     def _fail_calls(self, result_if_written: CounterResult) -> None:
@@ -288,11 +292,11 @@
     def resume_writing(self) -> None:
         """Report that the last byte has left this process."""
         super().resume_writing()
-        self._connection.handle_flushed()
+        self._connection.handle_write_completed()
 
-    def response_received(self, response: Response, reusable: bool) -> None:
+    def response_received(self, response: Response, is_reusable: bool) -> None:
         """Report a response."""
-        self._connection.handle_response(response, reusable)
+        self._connection.handle_response(response, is_reusable)
 
     def malformed_response(self) -> None:
         """Report a response that is not HTTP."""
@@ -303,5 +307,5 @@
         self._connection.handle_disconnect()
 
 
-def _backoff_s(failures: int) -> float:
-    return min(BACKOFF_BASE_S * 2 ** min(failures - 2, MAX_BACKOFF_DOUBLINGS), MAX_BACKOFF_S)
+def _backoff_s(consecutive_failures: int) -> float:
+    return min(BACKOFF_BASE_S * 2 ** min(consecutive_failures - 2, MAX_BACKOFF_DOUBLINGS), MAX_BACKOFF_S)
--- a/api_gateway/network/discovery.py
+++ b/api_gateway/network/discovery.py
@@ -64,11 +64,11 @@
         self._generation = known_generation  # None: the next poll asks for the full list
         self._is_up_to_date = False  # the last poll was answered
         self._has_timed_out = False  # since the last response; logged once
-        self._connecting: asyncio.Task | None = None
+        self._connect_task: asyncio.Task | None = None
         self._connection: DiscoveryConnection | None = None
         self._timer: asyncio.TimerHandle | None = None  # the timeout of a step, or a delay before a poll
-        self._failures = 0
-        self._rejections = 0
+        self._consecutive_failures = 0
+        self._consecutive_rejections = 0
         self._poll_started_at = 0.0
         self._received_bytes = 0  # of the response, when its timeout was last checked
         self._is_stopped = False
@@ -89,8 +89,8 @@
         """End the watch."""
         self._is_stopped = True
         self._cancel_timer()
-        if self._connecting is not None:
-            self._connecting.cancel()
+        if self._connect_task is not None:
+            self._connect_task.cancel()
         if self._connection is not None:
             self._connection.abort()
 
@@ -102,15 +102,15 @@
         """
         if self._is_stopped:
             return
-        connecting, self._connecting = self._connecting, None
+        connect_task, self._connect_task = self._connect_task, None
         connection, self._connection = self._connection, None
-        if connecting is not None:
-            connecting.cancel()
+        if connect_task is not None:
+            connect_task.cancel()
         if connection is not None:
             connection.abort()
         self._address = address
         self._generation = None
-        self._failures = 0
+        self._consecutive_failures = 0
         self._is_up_to_date = False
         self._poll()
 
@@ -128,23 +128,23 @@
 
     def _connect(self) -> None:
         self._start_timer(self._policy.connect_timeout_s(), self._on_timeout)
-        self._connecting = self._loop.create_task(
+        self._connect_task = self._loop.create_task(
             self._loop.create_connection(lambda: DiscoveryConnection(self), *self._address)
         )
-        self._connecting.add_done_callback(self._on_connect_done)
+        self._connect_task.add_done_callback(self._on_connect_done)
 
     def _on_connect_done(self, task: asyncio.Task) -> None:
         has_failed = task.cancelled() or task.exception() is not None
-        if task is not self._connecting:  # the address has changed meanwhile
+        if task is not self._connect_task:  # the address has changed meanwhile
             if not has_failed:
                 task.result()[1].abort()
             return
-        self._connecting = None
+        self._connect_task = None
         if has_failed:
             self._back_off()
             return
         self._connection = task.result()[1]
-        if self._connection.closed:  # its end was reported before it was known here
+        if self._connection.is_closed:  # its end was reported before it was known here
             self.handle_disconnect(self._connection)
         else:
             self._send_poll(self._connection)
@@ -156,13 +156,13 @@
 
     # --- Response ------------------------------------------------------------------------------------------
 
-    def handle_response(self, connection: DiscoveryConnection, response: Response, reusable: bool) -> None:
+    def handle_response(self, connection: DiscoveryConnection, response: Response, is_reusable: bool) -> None:
         """Pass on the endpoint list of a response, and send the next poll.
 
         Args:
             connection: The connection that it arrived on.
             response: The response.
-            reusable: Whether the connection can carry another poll.
+            is_reusable: Whether the connection can carry another poll.
         """
         if connection is not self._connection:
             return
@@ -179,8 +179,8 @@
         self._generation = endpoint_list.generation
         self._is_up_to_date = True
         self._has_timed_out = False
-        self._failures = self._rejections = 0
-        if not reusable:
+        self._consecutive_failures = self._consecutive_rejections = 0
+        if not is_reusable:
             self._connection = None
             connection.abort()
         self._poll()  # before the update is handled, which takes time
@@ -189,7 +189,7 @@
     def _handle_rejection(self, connection: DiscoveryConnection, status: int) -> None:
         # The generation stays known: full lists are the largest load for a discovery that is overloaded.
         log.warning("discovery_poll_rejected status=%d endpoints=kept", status)
-        self._rejections += 1
+        self._consecutive_rejections += 1
         connection.abort()
 
     def _decode(self, body: bytes) -> EndpointList:
@@ -217,9 +217,9 @@
 
     def _on_timeout(self) -> None:
         # A stalled loop fires this timer before it reads a response that has arrived in time.
-        self._timer = self._loop.call_later(TIMEOUT_READ_DELAY_S, self._on_read_delay_over)
+        self._timer = self._loop.call_later(TIMEOUT_READ_DELAY_S, self._on_read_delay_elapsed)
 
-    def _on_read_delay_over(self) -> None:
+    def _on_read_delay_elapsed(self) -> None:
         if self._is_progressing():
             self._start_timer(self._policy.progress_timeout_s(), self._on_timeout)
         else:
@@ -238,8 +238,8 @@
             log.warning("discovery_poll_timed_out endpoints=kept")
         self._has_timed_out = True
         self._is_up_to_date = False
-        if self._connecting is not None:
-            self._connecting.cancel()
+        if self._connect_task is not None:
+            self._connect_task.cancel()
         elif self._connection is not None:
             self._connection.abort()
 
@@ -247,10 +247,10 @@
         self._cancel_timer()
         if self._is_stopped:
             return
-        self._failures += 1
+        self._consecutive_failures += 1
         limit_s = self._policy.backoff_limit_s(
-            failures=self._failures,
-            rejections=self._rejections,
+            consecutive_failures=self._consecutive_failures,
+            consecutive_rejections=self._consecutive_rejections,
             started_at=self._poll_started_at,
             now=self._loop.time(),
         )
@@ -269,17 +269,17 @@
     """One connection to discovery.
 
     Attributes:
-        closed: Whether its end has been reported.
+        is_closed: Whether its end has been reported.
     """
 
     def __init__(self, watch: DiscoveryWatch) -> None:
         super().__init__(MAX_ENDPOINT_LIST_BYTES)
         self._watch = watch
-        self.closed = False
+        self.is_closed = False
 
-    def response_received(self, response: Response, reusable: bool) -> None:
+    def response_received(self, response: Response, is_reusable: bool) -> None:
         """Pass a response to the watch."""
-        self._watch.handle_response(self, response, reusable)
+        self._watch.handle_response(self, response, is_reusable)
 
     def malformed_response(self) -> None:
         """Log a response that is not HTTP; the connection is closed next."""
@@ -287,5 +287,5 @@
 
     def connection_closed(self) -> None:
         """Report the end of the connection to the watch."""
-        self.closed = True
+        self.is_closed = True
         self._watch.handle_disconnect(self)
--- a/api_gateway/network/discovery_policy.py
+++ b/api_gateway/network/discovery_policy.py
@@ -21,9 +21,9 @@
 MAX_POLL_CYCLE_S = 2.8  # from the start of one poll to the start of the next, unless it was answered
 CONNECT_TIMEOUT_S = 0.6
 RESPONSE_TIMEOUT_S = 2.2  # of a poll that does not wait for a change, queued behind other gateways' polls
-LONG_POLL_MS = 2000  # how long a poll waits for a change
-LONG_POLL_MARGIN_S = 0.6  # beyond LONG_POLL_MS; discovery has served the poll before it waited
-CATCH_UP_POLL_MS = 1  # the first poll after a failure does not wait: a missing response is detected at once
+LONG_POLL_WAIT_MS = 2000  # how long a poll waits for a change
+LONG_POLL_MARGIN_S = 0.6  # beyond LONG_POLL_WAIT_MS; discovery has served the poll before it waited
+CATCH_UP_WAIT_MS = 1  # the first poll after a failure does not wait: a missing response is detected at once
 AGENT_TIMEOUT_S = 0.2  # to connect, and beyond the wait of a poll
 FULL_LIST_TIMEOUT_S = 30.0  # of a full list while more of it arrives
 PROGRESS_TIMEOUT_S = 0.6  # between two parts of it
@@ -32,8 +32,8 @@
 MIN_BACKOFF_LIMIT_S = 0.1  # a poll that used up its cycle is retried within this time; an agent always
 MAX_BACKOFF_DOUBLINGS = 10
 
-SERVICE_TIME_S = 0.2  # that the service may take for one poll
-MAX_SPREAD_SHARE = 0.8  # of the interval in which a gateway must poll
+POLL_SERVICE_TIME_S = 0.2  # that the service may take for one poll
+MAX_SPREAD_FRACTION = 0.8  # of the interval in which a gateway must poll
 
 
 @dataclass(slots=True, frozen=True)
@@ -62,8 +62,8 @@
             return cls()
         return cls(
             min(
-                SERVICE_TIME_S * settings.fleet_size,
-                MAX_SPREAD_SHARE * max_poll_interval_ms / 1000,
+                POLL_SERVICE_TIME_S * settings.fleet_size,
+                MAX_SPREAD_FRACTION * max_poll_interval_ms / 1000,
                 MAX_POLL_CYCLE_S,
             )
         )
@@ -83,7 +83,7 @@
         Args:
             is_up_to_date: Whether the last poll was answered.
         """
-        return LONG_POLL_MS if is_up_to_date else CATCH_UP_POLL_MS
+        return LONG_POLL_WAIT_MS if is_up_to_date else CATCH_UP_WAIT_MS
 
     def response_timeout_s(self, wait_ms: float) -> float:
         """Return the time within which the response to a poll must arrive.
@@ -93,7 +93,7 @@
         """
         if self.is_agent:
             return wait_ms / 1000 + AGENT_TIMEOUT_S
-        if wait_ms > CATCH_UP_POLL_MS:
+        if wait_ms > CATCH_UP_WAIT_MS:
             return wait_ms / 1000 + LONG_POLL_MARGIN_S
         return RESPONSE_TIMEOUT_S
 
@@ -105,17 +105,19 @@
         """Return the time within which the whole of a full list must arrive."""
         return FULL_LIST_TIMEOUT_S
 
-    def backoff_limit_s(self, *, failures: int, rejections: int, started_at: float, now: float) -> float:
+    def backoff_limit_s(
+        self, *, consecutive_failures: int, consecutive_rejections: int, started_at: float, now: float
+    ) -> float:
         """Return the upper limit of the random delay before the next poll (full jitter).
 
         Args:
-            failures: Polls in a row that failed, the rejected ones included.
-            rejections: Polls in a row that were rejected with a status.
+            consecutive_failures: Polls in a row that failed, the rejected ones included.
+            consecutive_rejections: Polls in a row that were rejected with a status.
             started_at: When the last poll started, in seconds of the loop's clock.
             now: The time now, by the same clock.
         """
-        limit_s = BACKOFF_BASE_S * 2 ** min(failures, MAX_BACKOFF_DOUBLINGS)
-        if rejections and self.spread_s:
-            limit_s = self.spread_s * 2 ** min(rejections - 1, MAX_BACKOFF_DOUBLINGS)
-        left_of_cycle_s = 0.0 if self.is_agent else started_at + MAX_POLL_CYCLE_S - now
-        return min(limit_s, max(left_of_cycle_s, MIN_BACKOFF_LIMIT_S))
+        limit_s = BACKOFF_BASE_S * 2 ** min(consecutive_failures, MAX_BACKOFF_DOUBLINGS)
+        if consecutive_rejections and self.spread_s:
+            limit_s = self.spread_s * 2 ** min(consecutive_rejections - 1, MAX_BACKOFF_DOUBLINGS)
+        remaining_cycle_s = 0.0 if self.is_agent else started_at + MAX_POLL_CYCLE_S - now
+        return min(limit_s, max(remaining_cycle_s, MIN_BACKOFF_LIMIT_S))
--- a/api_gateway/network/dispatcher.py
+++ b/api_gateway/network/dispatcher.py
@@ -35,7 +35,7 @@
 
 log = logging.getLogger(__name__)
 
-ENDPOINT_LIST_TIMEOUT_S = 1.0  # after this, requests are served with the configured endpoint list
+INITIAL_ENDPOINT_LIST_TIMEOUT_S = 1.0  # after this, requests are served with the configured endpoint list
 
 
 class Dispatcher:
@@ -48,9 +48,9 @@
 
     Attributes:
         settings: The settings of the configuration.
-        endpoints_known: Set once discovery has sent a list, or has not answered in time.
-        draining: Whether the process is shutting down; set from outside.
-        terminated: Whether all pending requests have been failed and no new ones are accepted.
+        startup_complete: Set once discovery has sent a list, or has not answered in time.
+        is_draining: Whether the process is shutting down; set from outside.
+        is_terminated: Whether all pending requests have been failed and no new ones are accepted.
     """
 
     def __init__(
@@ -60,24 +60,28 @@
         pool_class: type[ConnectionPool] = ConnectionPool,
     ) -> None:
         self.settings = configuration.settings
-        self.endpoints_known = asyncio.Event()
-        self.draining = False
-        self.terminated = False
+        self.startup_complete = asyncio.Event()
+        self.is_draining = False
+        self.is_terminated = False
         self._loop = loop
         self._clock = Clock()
         self._gateway = Gateway(configuration.settings, configuration.seed)
         self._lag = EventLoopLag(loop)
         self._request_handler = RequestHandler(
-            configuration=configuration, loop=loop, pool_class=pool_class, lag=self._lag, post=self._post
+            configuration=configuration,
+            loop=loop,
+            pool_class=pool_class,
+            lag=self._lag,
+            post_event=self._post_event,
         )
         self._pool = self._request_handler.pool
-        self._cached_list = configuration.cached_endpoints
+        self._cached_endpoint_list = configuration.cached_endpoints
         self._discovery = self._create_discovery_watch(configuration)
         self._counter = self._create_counter_client(configuration)
         self._events: deque[Event] = deque()
-        self._handling_events = False
+        self._is_handling_event = False
         self._started_at = 0.0
-        self._discovery_answered = False
+        self._has_discovery_response = False
 
     def _create_discovery_watch(self, configuration: Configuration) -> DiscoveryWatch:
         cached = configuration.cached_endpoints
@@ -98,7 +102,7 @@
             loop=self._loop,
             address=configuration.counter,
             timeout_ms=configuration.settings.counter_timeout_ms,
-            on_reply=self._post,
+            on_reply=self._post_event,
         )
 
     # --- Startup and shutdown -----------------------------------------------------------------------------
@@ -106,7 +110,7 @@
     def start(self) -> None:
         """Begin with the configured endpoint list; then watch discovery and connect to the counter."""
         self._started_at = time.monotonic()
-        self._apply_endpoint_list(self._cached_list, UpdateKind.CACHED)
+        self._apply_endpoint_list(self._cached_endpoint_list, UpdateKind.CACHED)
         self._pool.start()
         self._discovery.start()
         if self._counter is not None:
@@ -114,8 +118,8 @@
         self._lag.start()
         # An agent on this machine answers at once. Where discovery is polled, its answer may take long, and
         # clients are accepted before it.
-        timeout_s = 0.0 if self.settings.discovery_by_polling else ENDPOINT_LIST_TIMEOUT_S
-        self._loop.call_later(timeout_s, self.endpoints_known.set)
+        timeout_s = 0.0 if self.settings.discovery_by_polling else INITIAL_ENDPOINT_LIST_TIMEOUT_S
+        self._loop.call_later(timeout_s, self.startup_complete.set)
 
     def stop(self) -> None:
         """Close all connections to discovery, endpoints and counter."""
@@ -135,13 +139,16 @@
 
         Endpoints must be known, from discovery if it has answered in time.
         """
-        if self.draining or not self._pool.endpoint_names():
+        if self.is_draining or not self._pool.endpoint_names():
             return False
-        return self._discovery_answered or time.monotonic() - self._started_at > ENDPOINT_LIST_TIMEOUT_S
+        return (
+            self._has_discovery_response
+            or time.monotonic() - self._started_at > INITIAL_ENDPOINT_LIST_TIMEOUT_S
+        )
 
     def fail_pending_requests(self) -> None:
         """Answer all open requests as failed and start nothing more: the process is about to exit."""
-        self.terminated = True
+        self.is_terminated = True
         self._request_handler.fail_all()
 
     # --- Requests -----------------------------------------------------------------------------------------
@@ -165,8 +172,8 @@
     # --- Endpoints ----------------------------------------------------------------------------------------
 
     def _endpoints_updated(self, endpoint_list: EndpointList) -> None:
-        self._discovery_answered = True
-        self.endpoints_known.set()
+        self._has_discovery_response = True
+        self.startup_complete.set()
         kind = UpdateKind.FULL if endpoint_list.is_full else UpdateKind.CHANGES
         self._apply_endpoint_list(endpoint_list, kind)
 
@@ -182,22 +189,22 @@
             started_at_ms={e.name: e.started_at_ms for e in endpoints},
         )
         if endpoints or kind is not UpdateKind.CHANGES:
-            self._post(EndpointUpdate(kind, endpoints))
+            self._post_event(EndpointUpdate(kind, endpoints))
         self._pool.withdraw_pending_connects()  # after the decisions have the list
 
     # --- Decisions ----------------------------------------------------------------------------------------
 
-    def _post(self, event: Event) -> None:
+    def _post_event(self, event: Event) -> None:
         """Hand events to the decisions one at a time, also those that their own actions cause."""
         self._events.append(event)
-        if self._handling_events:
+        if self._is_handling_event:
             return
-        self._handling_events = True
+        self._is_handling_event = True
         try:
             while self._events:
                 self._handle(self._events.popleft())
         finally:
-            self._handling_events = False
+            self._is_handling_event = False
 
     def _handle(self, event: Event) -> None:
         """Let the decisions handle an event; an error in them costs one request only."""
@@ -226,7 +233,7 @@
                 self._request_handler.cancel_attempt(action)
             case StartTimer():
                 delay_s = max(action.delay_ms, 0.0) / 1000
-                self._loop.call_later(delay_s, self._post, TimerFired(action.name))
+                self._loop.call_later(delay_s, self._post_event, TimerFired(action.name))
             case IncrementCounter():
                 self._increment_counter(action)
             case SubscribeToEndpoints():
@@ -244,13 +251,13 @@
         log.debug(
             "request_rejected request_id=%s x_request_id=%s reason=%s retry_after_ms=%.0f",
             action.request_id,
-            request.inbound.x_request_id() if request is not None else "",
+            request.inbound.x_request_id_text() if request is not None else "",
             action.reason.value,
             action.retry_after_ms,
         )
 
     def _increment_counter(self, action: IncrementCounter) -> None:
         if self._counter is None:
-            self._post(CounterReply(action.name, CounterResult.CONNECT_FAILED, 0.0))
+            self._post_event(CounterReply(action.name, CounterResult.CONNECT_FAILED, 0.0))
         else:
             self._counter.increment(action)
--- a/api_gateway/network/downstream/connection.py
+++ b/api_gateway/network/downstream/connection.py
@@ -220,7 +220,7 @@
             self.respond(200 if self._dispatcher.is_ready() else 503)
         elif not path.startswith(API_PATH_PREFIX):
             raise BadRequestError("path", 404)
-        elif self._dispatcher.terminated:
+        elif self._dispatcher.is_terminated:
             self.respond(503)
         else:
             self._submit(request)
@@ -251,7 +251,7 @@
         self.has_responded = True
         if self.transport.is_closing():
             return
-        keep_alive = self._keep_alive and not self._dispatcher.draining
+        keep_alive = self._keep_alive and not self._dispatcher.is_draining
         self.transport.write(serialize_response(status, body, content_type, retry_after_ms, keep_alive))
         # After the write: a connection that is receiving may be evicted unless its response is still unsent.
         self._listener.connection_receiving(self)
--- a/api_gateway/network/downstream/request_parsing.py
+++ b/api_gateway/network/downstream/request_parsing.py
@@ -186,11 +186,11 @@
         time_left_ms = _parse_deadline(headers.get(DEADLINE, b""))
         quota_info = self.parse_quota_info(headers.get(QUOTA_INFO, b""))
         return InboundRequest(
-            wire_id=headers.get(REQUEST_ID, b""),
+            x_request_id=headers.get(REQUEST_ID, b""),
             class_name=request_class.name,
             plan_name=plan_name,
             tenant=tenant,
-            time_left_ms=min(time_left_ms, request_class.deadline_ms),
+            remaining_ms=min(time_left_ms, request_class.deadline_ms),
             units=quota_info.units,
             gateway_count=quota_info.gateway_count,
             first_gateway=quota_info.first_gateway,
--- a/api_gateway/network/open_requests.py
+++ b/api_gateway/network/open_requests.py
@@ -38,11 +38,11 @@
     """A valid request of a client.
 
     Attributes:
-        wire_id: Value of X-Request-Id.
+        x_request_id: Value of X-Request-Id.
         class_name: Name of its request class.
         plan_name: Name of its tenant's plan.
         tenant: Who is charged for it.
-        time_left_ms: How long the client waits, from when it sent the request.
+        remaining_ms: How long the client waits, from when it sent the request.
         units: Its size in quota units, as estimated by the client.
         gateway_count: Gateways that this tenant's requests may come through.
         first_gateway: Number of the first of them.
@@ -52,11 +52,11 @@
         body: The body.
     """
 
-    wire_id: bytes
+    x_request_id: bytes
     class_name: str
     plan_name: str
     tenant: str
-    time_left_ms: float
+    remaining_ms: float
     units: float
     gateway_count: int
     first_gateway: int
@@ -65,9 +65,9 @@
     head: bytes
     body: bytes
 
-    def x_request_id(self) -> str:
+    def x_request_id_text(self) -> str:
         """Return the value of X-Request-Id as text for the log."""
-        return self.wire_id.decode("latin-1")
+        return self.x_request_id.decode("latin-1")
 
 
 @dataclass(slots=True, eq=False)
@@ -81,7 +81,7 @@
         deadline: When it is answered at the latest, by `time.monotonic`.
         deadline_timer: Runs until `deadline`.
         attempts: Its attempts by number; None for one that was not started.
-        in_flight: Number of attempts that have not ended.
+        attempts_in_flight: Number of attempts that have not ended.
     """
 
     request_id: str
@@ -90,7 +90,7 @@
     deadline: float
     deadline_timer: asyncio.TimerHandle | None = None
     attempts: list[Attempt | None] = field(default_factory=list)
-    in_flight: int = 0
+    attempts_in_flight: int = 0
 
 
 class OpenRequests:
@@ -98,8 +98,8 @@
 
     def __init__(self) -> None:
         self._by_id: dict[str, OpenRequest] = {}
-        self._wire_ids: set[bytes] = set()
-        self._last_number = 0
+        self._x_request_ids: set[bytes] = set()
+        self._last_request_number = 0
 
     def __len__(self) -> int:
         """Return how many are open."""
@@ -113,9 +113,9 @@
         """Return a request; None if it is not open."""
         return self._by_id.get(request_id)
 
-    def has_wire_id(self, wire_id: bytes) -> bool:
+    def has_x_request_id(self, x_request_id: bytes) -> bool:
         """Return whether a request with this X-Request-Id is open."""
-        return wire_id in self._wire_ids
+        return x_request_id in self._x_request_ids
 
     def add(self, client: Client, inbound: InboundRequest, deadline: float) -> OpenRequest:
         """Open a request.
@@ -125,17 +125,17 @@
             inbound: What the client sent.
             deadline: When it is answered at the latest, by `time.monotonic`.
         """
-        self._wire_ids.add(inbound.wire_id)
-        self._last_number += 1
+        self._x_request_ids.add(inbound.x_request_id)
+        self._last_request_number += 1
         request = OpenRequest(
-            request_id=f"r{self._last_number}", inbound=inbound, client=client, deadline=deadline
+            request_id=f"r{self._last_request_number}", inbound=inbound, client=client, deadline=deadline
         )
         self._by_id[request.request_id] = request
         return request
 
     def remove_if_finished(self, request: OpenRequest) -> None:
         """Remove a request that needs no response and has no attempt in flight."""
-        if request.client is not None or request.in_flight:
+        if request.client is not None or request.attempts_in_flight:
             return
         if self._by_id.pop(request.request_id, None) is not None:
-            self._wire_ids.discard(request.inbound.wire_id)
+            self._x_request_ids.discard(request.inbound.x_request_id)
--- a/api_gateway/network/request_handler.py
+++ b/api_gateway/network/request_handler.py
@@ -19,10 +19,10 @@
 
 log = logging.getLogger(__name__)
 
-TRANSIT_MS = 4.0  # allowed for the way of the request to this gateway and of the response back
+CLIENT_ROUND_TRIP_MS = 4.0  # allowed for the way of the request to this gateway and of the response back
 DEADLINE_MARGIN_MS = 8.0  # the deadline timer answers this long before the client's time is over
 DECISION_MARGIN_MS = 20.0  # the decisions get a deadline this much earlier, so that they answer first
-USAGE_HEADER = b"billed-units"  # units that the request used, as reported by the endpoint
+BILLED_UNITS_HEADER = b"billed-units"  # units that the request used, as reported by the endpoint
 
 
 class RequestHandler:
@@ -33,7 +33,7 @@
         loop: The event loop.
         pool_class: The pool of upstream connections.
         lag: The lag of the event loop.
-        post: Hands an event to the decisions.
+        post_event: Hands an event to the decisions.
 
     Attributes:
         requests: The open requests.
@@ -47,7 +47,7 @@
         loop: asyncio.AbstractEventLoop,
         pool_class: type[ConnectionPool],
         lag: EventLoopLag,
-        post: Callable[[Event], None],
+        post_event: Callable[[Event], None],
     ) -> None:
         self.requests = OpenRequests()
         self.pool = pool_class(
@@ -55,13 +55,13 @@
             max_connections=max_upstream_connections(configuration.max_descriptors),
             connect_timeout_ms=configuration.connect_timeout_ms,
             idle_timeout_ms=configuration.idle_timeout_ms,
-            attempt_ended=self._attempt_ended,
+            on_attempt_ended=self._on_attempt_ended,
             close_if_abandoned=self._close_if_attempt_abandoned,
         )
         self._settings = configuration.settings
         self._loop = loop
         self._lag = lag
-        self._post = post
+        self._post_event = post_event
 
     # --- Requests -----------------------------------------------------------------------------------------
 
@@ -76,22 +76,22 @@
             The id for `client_disconnected`; None if a request with the same X-Request-Id is open, since
             endpoints know a request by that id alone.
         """
-        if self.requests.has_wire_id(inbound.wire_id):
+        if self.requests.has_x_request_id(inbound.x_request_id):
             return None
         # The client's time runs from when it sent the request, not from when this process handles it.
         now = time.monotonic()
         queued_ms = (now - inbound.read_at) * 1000
-        time_left_ms = inbound.time_left_ms - TRANSIT_MS - self._lag.lag_ms(now) - queued_ms
-        timeout_s = (time_left_ms - DEADLINE_MARGIN_MS) / 1000
+        remaining_ms = inbound.remaining_ms - CLIENT_ROUND_TRIP_MS - self._lag.lag_ms(now) - queued_ms
+        timeout_s = (remaining_ms - DEADLINE_MARGIN_MS) / 1000
         request = self.requests.add(client, inbound, now + timeout_s)
         request.deadline_timer = self._loop.call_later(max(timeout_s, 0.0), self._deadline_reached, request)
-        self._post(
+        self._post_event(
             RequestReceived(
                 request_id=request.request_id,
                 class_name=inbound.class_name,
                 plan_name=inbound.plan_name,
                 tenant=inbound.tenant,
-                time_left_ms=time_left_ms - DECISION_MARGIN_MS,
+                time_left_ms=remaining_ms - DECISION_MARGIN_MS,
                 units=inbound.units,
                 gateway_count=inbound.gateway_count,
                 first_gateway=inbound.first_gateway,
@@ -105,7 +105,7 @@
         request = self.requests.get(request_id)
         if request is not None and request.client is not None:
             self._close(request)
-            self._post(ClientDisconnected(request_id))
+            self._post_event(ClientDisconnected(request_id))
             self._withdraw_unsent_attempts(request)
 
     def respond(self, request_id: str, status: int, *, retry_after_ms: float = 0.0) -> None:
@@ -126,9 +126,9 @@
     def fail_all(self) -> None:
         """Answer all open requests with 504."""
         for request in self.requests:
-            self._answer_timeout(request)
+            self._respond_with_timeout(request)
 
-    def _forward(self, request: OpenRequest, response: Response) -> None:
+    def _forward_response(self, request: OpenRequest, response: Response) -> None:
         """Answer with an endpoint's response, unless the request has been answered."""
         if request.client is None:
             return
@@ -155,14 +155,14 @@
         log.warning(
             "request_deadline_reached request_id=%s x_request_id=%s status=504",
             request.request_id,
-            request.inbound.x_request_id(),
+            request.inbound.x_request_id_text(),
         )
-        self._answer_timeout(request)
+        self._respond_with_timeout(request)
 
-    def _answer_timeout(self, request: OpenRequest) -> None:
+    def _respond_with_timeout(self, request: OpenRequest) -> None:
         if request.client is not None:
             self.respond(request.request_id, 504)
-            self._post(ClientDisconnected(request.request_id))
+            self._post_event(ClientDisconnected(request.request_id))
 
     def _close(self, request: OpenRequest) -> Client:
         """Close a request for its client, and return the client."""
@@ -173,7 +173,7 @@
 
     def _withdraw_unsent_attempts(self, request: OpenRequest) -> None:
         """End the attempts with unsent bytes: their endpoint would run them after the response."""
-        if request.in_flight:
+        if request.attempts_in_flight:
             for attempt in request.attempts:
                 if attempt is not None:
                     self.pool.withdraw(attempt)
@@ -184,19 +184,19 @@
         """Send an attempt, unless nobody waits for it, its time is over or the attempts are used up."""
         request = self.requests.get(action.request_id)
         number = len(request.attempts) if request is not None else 0
-        time_left_s = request.deadline - time.monotonic() if request is not None else 0.0
+        remaining_s = request.deadline - time.monotonic() if request is not None else 0.0
         is_abandoned = self._close_if_abandoned(request)
-        if is_abandoned or time_left_s <= 0 or number >= self._settings.max_attempts:
+        if is_abandoned or remaining_s <= 0 or number >= self._settings.max_attempts:
             if request is not None:
                 request.attempts.append(None)
             self._post_not_started(action, number, is_final=is_abandoned)
             return
-        timeout_s = min(action.timeout_ms / 1000, time_left_s) if action.timeout_ms else time_left_s
+        timeout_s = min(action.timeout_ms / 1000, remaining_s) if action.timeout_ms else remaining_s
         now = time.monotonic()
         attempt = Attempt(
             request_id=action.request_id,
             number=number,
-            endpoint=action.endpoint,
+            endpoint_name=action.endpoint,
             head=request.inbound.head,
             body=request.inbound.body,
             started_at=now,
@@ -204,7 +204,7 @@
             write_deadline=now + action.write_timeout_ms / 1000,
         )
         request.attempts.append(attempt)
-        request.in_flight += 1
+        request.attempts_in_flight += 1
         self.pool.send(attempt)
 
     def cancel_attempt(self, action: CancelAttempt) -> None:
@@ -216,7 +216,7 @@
                 self.pool.cancel(attempt)
 
     def _post_not_started(self, action: StartAttempt, number: int, *, is_final: bool) -> None:
-        self._post(
+        self._post_event(
             AttemptEnded(
                 request_id=action.request_id,
                 attempt=number,
@@ -230,24 +230,24 @@
     def _close_if_attempt_abandoned(self, attempt: Attempt) -> bool:
         return self._close_if_abandoned(self.requests.get(attempt.request_id))
 
-    def _attempt_ended(self, attempt: Attempt, result: AttemptResult, response: Response | None) -> None:
+    def _on_attempt_ended(self, attempt: Attempt, result: AttemptResult, response: Response | None) -> None:
         request = self.requests.get(attempt.request_id)
-        request.in_flight -= 1
+        request.attempts_in_flight -= 1
         now = time.monotonic()
         duration_ms = (now - attempt.started_at) * 1000
         if response is not None:  # the time for which it was unread is not the endpoint's
             duration_ms = max(duration_ms - self._lag.lag_ms(now), 0.0)
         units = 0.0
         if result == AttemptResult.OK:
-            units = response.positive_header(USAGE_HEADER, self._settings.max_request_units)
-            self._forward(request, response)
+            units = response.positive_header_value(BILLED_UNITS_HEADER, self._settings.max_request_units)
+            self._forward_response(request, response)
         is_final = request.client is None
         self.requests.remove_if_finished(request)
-        self._post(
+        self._post_event(
             AttemptEnded(
                 request_id=attempt.request_id,
                 attempt=attempt.number,
-                endpoint=attempt.endpoint,
+                endpoint=attempt.endpoint_name,
                 result=result,
                 duration_ms=duration_ms,
                 is_final=is_final,
--- a/api_gateway/network/response_parser.py
+++ b/api_gateway/network/response_parser.py
@@ -18,7 +18,7 @@
 MAX_ENDPOINT_LIST_BYTES = 4 * 1024 * 1024
 MAX_FRAMING_BYTES = 64 * 1024  # heads, interim responses and chunk lines of one response
 STATUSES_WITHOUT_BODY = frozenset((204, 304))
-DECIMAL = re.compile(rb"-?[0-9]{1,15}(?:\.[0-9]{1,15})?(?:[eE][+-]?[0-9]{1,2})?")
+DECIMAL_PATTERN = re.compile(rb"-?[0-9]{1,15}(?:\.[0-9]{1,15})?(?:[eE][+-]?[0-9]{1,2})?")
 
 
 class MalformedResponseError(GatewayError):
@@ -31,7 +31,7 @@
     Returns:
         The number, or None if the text is not one.
     """
-    return float(text) if DECIMAL.fullmatch(text) else None
+    return float(text) if DECIMAL_PATTERN.fullmatch(text) else None
 
 
 @dataclass(slots=True)
@@ -50,7 +50,7 @@
     body: bytes
     keep_alive: bool
 
-    def positive_header(self, name: bytes, maximum: float) -> float:
+    def positive_header_value(self, name: bytes, maximum: float) -> float:
         """Return a header's number.
 
         Args:
@@ -71,33 +71,33 @@
 
     Attributes:
         transport: The connection; None before it is open.
-        unsent: Whether part of what was written has not left this process.
+        has_unsent_data: Whether part of what was written has not left this process.
     """
 
     def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
         self.transport: asyncio.Transport | None = None
-        self.unsent = False
+        self.has_unsent_data = False
         self._parser = httptools.HttpResponseParser(self)
         self._max_body_bytes = max_body_bytes
-        self._expected = 0  # responses
+        self._expected_responses = 0
         self._received_bytes = 0  # of the response being received, with the interim ones before it
-        self._complete: list[Response] = []
+        self._complete_responses: list[Response] = []
         self._begin_message()
 
     def _begin_message(self) -> None:
         self._headers: dict[bytes, bytes] = {}
         self._body: list[bytes] = []
         self._body_bytes = 0
-        self._in_message = False
+        self._is_in_message = False
 
     # --- Defined by subclasses ----------------------------------------------------------------------------
 
-    def response_received(self, response: Response, reusable: bool) -> None:
+    def response_received(self, response: Response, is_reusable: bool) -> None:
         """Handle the response to the oldest request.
 
         Args:
             response: The complete response.
-            reusable: Whether the connection may carry another request.
+            is_reusable: Whether the connection may carry another request.
         """
         raise NotImplementedError
 
@@ -113,9 +113,9 @@
 
     def write(self, data: bytes) -> None:
         """Write one request."""
-        self._expected += 1
+        self._expected_responses += 1
         self.transport.write(data)
-        self.unsent = self.transport.get_write_buffer_size() > 0
+        self.has_unsent_data = self.transport.get_write_buffer_size() > 0
 
     def abort(self) -> None:
         """Close the connection at once, with what is unsent."""
@@ -139,24 +139,24 @@
 
     def resume_writing(self) -> None:
         """Note that the last byte has left this process."""
-        self.unsent = False
+        self.has_unsent_data = False
 
     def data_received(self, data: bytes) -> None:
         """Parse data, then deliver the responses that it completes."""
         if self.transport.is_closing():
             return
-        valid = self._parse(data)
+        is_valid = self._parse(data)
         # A response that was not requested, such as a second copy behind the first one, would be taken for
         # the response to the next request. So none is delivered before all that came with it is parsed.
-        complete, self._complete = self._complete, []
-        expected = complete[: self._expected]
-        self._expected -= len(expected)
-        if len(complete) > len(expected) or (self._in_message and not self._expected):
-            valid = False
+        complete, self._complete_responses = self._complete_responses, []
+        expected = complete[: self._expected_responses]
+        self._expected_responses -= len(expected)
+        if len(complete) > len(expected) or (self._is_in_message and not self._expected_responses):
+            is_valid = False
         for response in expected:
-            self.response_received(response, valid and response.keep_alive)
-        if not valid:
-            if self._expected:
+            self.response_received(response, is_valid and response.keep_alive)
+        if not is_valid:
+            if self._expected_responses:
                 self.malformed_response()
             self.abort()
 
@@ -170,7 +170,7 @@
         Returns:
             Whether the data was expected, well-formed and within the bounds.
         """
-        if not self._expected:
+        if not self._expected_responses:
             return False
         self._received_bytes += len(data)
         try:
@@ -183,7 +183,7 @@
 
     def on_message_begin(self) -> None:
         """Note that a response has begun."""
-        self._in_message = True
+        self._is_in_message = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Keep a header field.
@@ -230,7 +230,7 @@
         status = self._parser.get_status_code()
         if status >= 200:
             self._received_bytes = 0
-            self._complete.append(
+            self._complete_responses.append(
                 Response(
                     status=status,
                     headers=self._headers,
--- a/api_gateway/network/upstream/attempt.py
+++ b/api_gateway/network/upstream/attempt.py
@@ -23,7 +23,7 @@
     Attributes:
         request_id: The request that it is made for.
         number: Its number within the request, from 0.
-        endpoint: Name of the endpoint that it is sent to.
+        endpoint_name: Name of the endpoint that it is sent to.
         head: Request line and headers, without `X-Deadline` and the empty line.
         body: The request's body.
         started_at: When it was started.
@@ -34,12 +34,12 @@
         response_timer: Runs until `deadline`.
         connect_timer: Runs while the connect is under way.
         write_timer: Runs until `write_deadline`, if it was not written at once.
-        done: Whether its result has been reported.
+        is_done: Whether its result has been reported.
     """
 
     request_id: str
     number: int
-    endpoint: str
+    endpoint_name: str
     head: bytes
     body: bytes
     started_at: float
@@ -50,7 +50,7 @@
     response_timer: asyncio.TimerHandle | None = None
     connect_timer: asyncio.TimerHandle | None = None
     write_timer: asyncio.TimerHandle | None = None
-    done: bool = False
+    is_done: bool = False
 
     def request_bytes(self, now: float) -> bytes:
         """Return the request as it is written.
@@ -58,12 +58,12 @@
         Args:
             now: Time of the write; `X-Deadline` gives the time that is left then.
         """
-        time_left_ms = max((self.deadline - now) * 1000, 1)
-        return b"%bX-Deadline: %dm\r\n\r\n%b" % (self.head, time_left_ms, self.body)
+        remaining_ms = max((self.deadline - now) * 1000, 1)
+        return b"%bX-Deadline: %dm\r\n\r\n%b" % (self.head, remaining_ms, self.body)
 
     def has_unsent_bytes(self) -> bool:
         """Return whether its last byte has not left this process, so that the endpoint cannot have run it."""
-        return self.connection is None or self.connection.unsent
+        return self.connection is None or self.connection.has_unsent_data
 
     def abort(self) -> None:
         """End its connection, or the connect under way. The connection is never used again."""
--- a/api_gateway/network/upstream/connection.py
+++ b/api_gateway/network/upstream/connection.py
@@ -21,7 +21,7 @@
     Attributes:
         endpoint: What it is connected to.
         attempt: The attempt whose response is awaited; None while idle.
-        reused: Whether `attempt` is not the first one on it.
+        is_reused: Whether `attempt` is not the first one on it.
         idle_since: When its last response was complete, in s of event-loop time; 0 before the first one.
     """
 
@@ -30,14 +30,14 @@
         self._pool = pool
         self.endpoint = endpoint
         self.attempt: Attempt | None = None
-        self.reused = False
+        self.is_reused = False
         self.idle_since = 0.0
 
     def send(self, attempt: Attempt) -> None:
         """Write the request of an attempt."""
         self.attempt = attempt
         attempt.connection = self
-        self.reused = self.idle_since > 0
+        self.is_reused = self.idle_since > 0
         self.write(attempt.request_bytes(time.monotonic()))
 
     def is_reusable(self) -> bool:
@@ -46,20 +46,20 @@
         Unread data would be taken for the next response. Behind an unread end of the connection, a request
         that is written may have run.
         """
-        return not self.transport.is_closing() and not self._poll.poll(0)
+        return not self.transport.is_closing() and not self._socket_poll.poll(0)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register with the pool."""
         super().connection_made(transport)
-        self._poll = select.poll()
-        self._poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
+        self._socket_poll = select.poll()
+        self._socket_poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
         self._pool.connection_opened(self)
 
-    def response_received(self, response: Response, reusable: bool) -> None:
+    def response_received(self, response: Response, is_reusable: bool) -> None:
         """Pass a response to the pool, unless its attempt has been cancelled or has timed out."""
         attempt, self.attempt = self.attempt, None
         if attempt is not None:
-            self._pool.response_received(self, attempt, response, reusable)
+            self._pool.response_received(self, attempt, response, is_reusable)
 
     def malformed_response(self) -> None:
         """Report a response that cannot be used to the pool."""
--- a/api_gateway/network/upstream/endpoint.py
+++ b/api_gateway/network/upstream/endpoint.py
@@ -17,41 +17,41 @@
         name: Its instance id.
         address: Host and port.
         started_at_ms: When the process started, in ms of Unix time.
-        draining: Whether it finishes what it has and takes no new requests.
-        idle: Its idle connections, the one used last at the end.
+        is_draining: Whether it finishes what it has and takes no new requests.
+        idle_connections: Its idle connections, the one used last at the end.
     """
 
     name: str
     address: tuple[str, int]
     started_at_ms: float
-    draining: bool = False
-    idle: list[UpstreamConnection] = field(default_factory=list)
+    is_draining: bool = False
+    idle_connections: list[UpstreamConnection] = field(default_factory=list)
 
     def is_replaced_by(self, address: tuple[str, int], started_at_ms: float) -> bool:
         """Return whether an entry of the endpoint list means another process than this one."""
         return self.address != address or started_at_ms > self.started_at_ms
 
-    def pop_reusable(self, idle_before: float) -> UpstreamConnection | None:
+    def pop_reusable_connection(self, idle_before: float) -> UpstreamConnection | None:
         """Remove and return the idle connection that was used last, of those that are reusable.
 
         Args:
             idle_before: Event-loop time in s; a connection must have become idle by then, so that bytes
                 which follow its last response have had time to arrive.
         """
-        for i in range(len(self.idle) - 1, -1, -1):
-            connection = self.idle[i]
+        for i in range(len(self.idle_connections) - 1, -1, -1):
+            connection = self.idle_connections[i]
             if connection.idle_since <= idle_before and connection.is_reusable():
-                del self.idle[i]
+                del self.idle_connections[i]
                 return connection
         return None
 
-    def retire_idle(self, idle_before: float) -> None:
+    def close_expired_connections(self, idle_before: float) -> None:
         """Close the connections that became idle before an event-loop time in s."""
-        while self.idle and self.idle[0].idle_since < idle_before:
-            self.idle.pop(0).abort()
+        while self.idle_connections and self.idle_connections[0].idle_since < idle_before:
+            self.idle_connections.pop(0).abort()
 
-    def close_idle(self) -> None:
+    def close_idle_connections(self) -> None:
         """Close all idle connections."""
-        idle, self.idle = self.idle, []
-        for connection in idle:
+        idle_connections, self.idle_connections = self.idle_connections, []
+        for connection in idle_connections:
             connection.abort()
--- a/api_gateway/network/upstream/pool.py
+++ b/api_gateway/network/upstream/pool.py
@@ -17,8 +17,8 @@
 
 MAX_PENDING_CONNECTS = 64
 MIN_IDLE_BEFORE_REUSE_S = 0.01  # so that bytes behind the last response, if any, can arrive
-IDLE_TIMEOUT_SHARE = 0.5  # part of the endpoints' idle timeout after which a connection is closed
-RETIRE_INTERVAL_S = 1.0
+IDLE_TIMEOUT_FRACTION = 0.5  # part of the endpoints' idle timeout after which a connection is closed
+EXPIRY_CHECK_INTERVAL_S = 1.0
 
 
 class ConnectionPool:
@@ -29,7 +29,7 @@
         max_connections: Bound on the connections to all endpoints, with the connects under way.
         connect_timeout_ms: How long a connect may take.
         idle_timeout_ms: After how long the endpoints close an idle connection.
-        attempt_ended: Called once for each attempt, with its response if it got a complete one.
+        on_attempt_ended: Called once for each attempt, with its response if it got a complete one.
         close_if_abandoned: Closes the request of an attempt if its client has disconnected, and returns
             whether nobody waits for its response; called when a connect has succeeded.
     """
@@ -41,27 +41,27 @@
         max_connections: int,
         connect_timeout_ms: float,
         idle_timeout_ms: float,
-        attempt_ended: Callable[[Attempt, AttemptResult, Response | None], None],
+        on_attempt_ended: Callable[[Attempt, AttemptResult, Response | None], None],
         close_if_abandoned: Callable[[Attempt], bool],
     ) -> None:
         self._loop = loop
         self._max_connections = max_connections
         self._connect_timeout_s = connect_timeout_ms / 1000
-        self._idle_timeout_s = IDLE_TIMEOUT_SHARE * idle_timeout_ms / 1000
-        self._attempt_ended = attempt_ended
+        self._idle_timeout_s = IDLE_TIMEOUT_FRACTION * idle_timeout_ms / 1000
+        self._on_attempt_ended = on_attempt_ended
         self._close_if_abandoned = close_if_abandoned
         self._endpoints: dict[str, UpstreamEndpoint] = {}
         self._connections: set[UpstreamConnection] = set()
         self._pending_connects: dict[Attempt, UpstreamEndpoint] = {}
-        self._stopped = False
+        self._is_stopped = False
 
     def start(self) -> None:
         """Begin to close connections that have been idle for long."""
-        self._loop.call_later(RETIRE_INTERVAL_S, self._retire_idle_connections)
+        self._loop.call_later(EXPIRY_CHECK_INTERVAL_S, self._close_expired_connections)
 
     def stop(self) -> None:
         """Close all connections."""
-        self._stopped = True
+        self._is_stopped = True
         for connection in list(self._connections):
             connection.abort()
 
@@ -86,17 +86,17 @@
         for name in removed:
             endpoint = self._endpoints.pop(name, None)
             if endpoint is not None:
-                endpoint.close_idle()
+                endpoint.close_idle_connections()
         for name, address in addresses.items():
             self._add_or_replace(name, address, started_at_ms.get(name, 0.0))
-            self._endpoints[name].draining = name in draining
+            self._endpoints[name].is_draining = name in draining
 
     def _add_or_replace(self, name: str, address: tuple[str, int], started_at_ms: float) -> None:
         endpoint = self._endpoints.get(name)
         if endpoint is not None:
             if not endpoint.is_replaced_by(address, started_at_ms):
                 return
-            endpoint.close_idle()
+            endpoint.close_idle_connections()
         self._endpoints[name] = UpstreamEndpoint(name, address, started_at_ms)
 
     def withdraw_pending_connects(self) -> None:
@@ -118,13 +118,13 @@
         An attempt that was decided for an earlier process must not be sent to its successor, which starts
         with the budget of a cold endpoint.
         """
-        return self._endpoints.get(endpoint.name) is endpoint and not endpoint.draining
+        return self._endpoints.get(endpoint.name) is endpoint and not endpoint.is_draining
 
     # --- Attempts -----------------------------------------------------------------------------------------
 
     def send(self, attempt: Attempt) -> None:
         """Write an attempt to an idle connection, or connect for it."""
-        endpoint = self._endpoints.get(attempt.endpoint)
+        endpoint = self._endpoints.get(attempt.endpoint_name)
         if endpoint is None:
             self._end(attempt, AttemptResult.CONNECT_FAILED)
             return
@@ -135,7 +135,7 @@
         attempt.response_timer = self._loop.call_later(
             max(attempt.deadline - now, 0.0), self._deadline_reached, attempt
         )
-        connection = endpoint.pop_reusable(self._loop.time() - MIN_IDLE_BEFORE_REUSE_S)
+        connection = endpoint.pop_reusable_connection(self._loop.time() - MIN_IDLE_BEFORE_REUSE_S)
         if connection is not None:
             self._send_on(connection, attempt)
         else:
@@ -143,17 +143,17 @@
 
     def cancel(self, attempt: Attempt) -> None:
         """Cancel an attempt by closing its connection."""
-        if not attempt.done:
+        if not attempt.is_done:
             self._abort(attempt, AttemptResult.CANCELLED)
 
     def withdraw(self, attempt: Attempt) -> None:
         """End an attempt whose last byte is unsent, so that it never ran. Any other goes on."""
-        if not attempt.done and attempt.has_unsent_bytes():
+        if not attempt.is_done and attempt.has_unsent_bytes():
             self._abort(attempt, AttemptResult.WITHDRAWN)
 
     def _send_on(self, connection: UpstreamConnection, attempt: Attempt) -> None:
         connection.send(attempt)
-        if connection.unsent:
+        if connection.has_unsent_data:
             self._start_write_timer(attempt)
 
     def _start_write_timer(self, attempt: Attempt) -> None:
@@ -181,17 +181,17 @@
 
     def _end(self, attempt: Attempt, result: AttemptResult, response: Response | None = None) -> None:
         """Report the one result of an attempt; later ones are ignored."""
-        if attempt.done:
+        if attempt.is_done:
             return
-        attempt.done = True
+        attempt.is_done = True
         attempt.connection = None
         attempt.cancel_timers()
-        self._attempt_ended(attempt, result, response)
+        self._on_attempt_ended(attempt, result, response)
 
     # --- Connects -----------------------------------------------------------------------------------------
 
     def _connect(self, endpoint: UpstreamEndpoint, attempt: Attempt) -> None:
-        if len(self._pending_connects) >= MAX_PENDING_CONNECTS or not self._ensure_capacity():
+        if len(self._pending_connects) >= MAX_PENDING_CONNECTS or not self._ensure_connection_slot():
             self._end(attempt, AttemptResult.LOCAL_LIMIT)
             return
         self._pending_connects[attempt] = endpoint
@@ -204,7 +204,7 @@
         )
         self._start_write_timer(attempt)
 
-    def _ensure_capacity(self) -> bool:
+    def _ensure_connection_slot(self) -> bool:
         """Keep to the bound on connections; at the bound, close the one that has been idle longest.
 
         Returns:
@@ -212,10 +212,12 @@
         """
         if len(self._connections) + len(self._pending_connects) < self._max_connections:
             return True
-        with_idle = [endpoint for endpoint in self._endpoints.values() if endpoint.idle]
-        if with_idle:
-            min(with_idle, key=lambda endpoint: endpoint.idle[0].idle_since).idle.pop(0).abort()
-        return bool(with_idle)
+        endpoints_with_idle = [endpoint for endpoint in self._endpoints.values() if endpoint.idle_connections]
+        if endpoints_with_idle:
+            min(
+                endpoints_with_idle, key=lambda endpoint: endpoint.idle_connections[0].idle_since
+            ).idle_connections.pop(0).abort()
+        return bool(endpoints_with_idle)
 
     def _connect_ended(self, attempt: Attempt, task: asyncio.Task) -> None:
         endpoint = self._pending_connects.pop(attempt)
@@ -232,7 +234,7 @@
     def _connected(
         self, attempt: Attempt, endpoint: UpstreamEndpoint, connection: UpstreamConnection
     ) -> None:
-        if attempt.done or self._stopped:
+        if attempt.is_done or self._is_stopped:
             connection.abort()
         elif not self._may_still_be_sent(attempt, endpoint):
             connection.abort()
@@ -270,25 +272,25 @@
         """Remove a connection, and end the attempt on it."""
         self._connections.discard(connection)
         endpoint = connection.endpoint
-        if connection in endpoint.idle:
-            endpoint.idle.remove(connection)
+        if connection in endpoint.idle_connections:
+            endpoint.idle_connections.remove(connection)
         attempt, connection.attempt = connection.attempt, None
         if attempt is None:
             return
-        if connection.unsent:
+        if connection.has_unsent_data:
             self._end(attempt, AttemptResult.NOT_SENT)
-        elif connection.reused and not connection.response_started():
+        elif connection.is_reused and not connection.response_started():
             # The connection used last had ended unnoticed, so the idle ones, which are older, count as stale.
-            endpoint.close_idle()
+            endpoint.close_idle_connections()
             self._end(attempt, AttemptResult.STALE_CONNECTION)
         else:
             self._end(attempt, AttemptResult.CONNECTION_RESET)
 
     def response_received(
-        self, connection: UpstreamConnection, attempt: Attempt, response: Response, reusable: bool
+        self, connection: UpstreamConnection, attempt: Attempt, response: Response, is_reusable: bool
     ) -> None:
         """Release the connection, and end the attempt with its complete response."""
-        self._release(connection, reusable)
+        self._release(connection, is_reusable)
         self._end(attempt, result_of_response(response), response)
 
     def malformed_response(self, connection: UpstreamConnection) -> None:
@@ -297,19 +299,19 @@
         if attempt is not None:
             self._end(attempt, AttemptResult.MALFORMED_RESPONSE)
 
-    def _release(self, connection: UpstreamConnection, reusable: bool) -> None:
+    def _release(self, connection: UpstreamConnection, is_reusable: bool) -> None:
         endpoint = connection.endpoint
-        if reusable and not connection.unsent and self._endpoints.get(endpoint.name) is endpoint:
+        if is_reusable and not connection.has_unsent_data and self._endpoints.get(endpoint.name) is endpoint:
             connection.idle_since = self._loop.time()
-            endpoint.idle.append(connection)
+            endpoint.idle_connections.append(connection)
         else:
             connection.abort()
 
-    def _retire_idle_connections(self) -> None:
+    def _close_expired_connections(self) -> None:
         # A request written while the endpoint closes its side would end in a reset and may have run.
-        if self._stopped:
+        if self._is_stopped:
             return
         idle_before = self._loop.time() - self._idle_timeout_s
         for endpoint in self._endpoints.values():
-            endpoint.retire_idle(idle_before)
-        self._loop.call_later(RETIRE_INTERVAL_S, self._retire_idle_connections)
+            endpoint.close_expired_connections(idle_before)
+        self._loop.call_later(EXPIRY_CHECK_INTERVAL_S, self._close_expired_connections)
--- a/api_gateway/shutdown.py
+++ b/api_gateway/shutdown.py
@@ -43,10 +43,10 @@
 
     def start(self) -> None:
         """Start the shutdown, unless it has started already."""
-        if self._dispatcher.draining:
+        if self._dispatcher.is_draining:
             return
         lifecycle_log.info("draining timeout_s=%.1f", self._drain_timeout_s)
-        self._dispatcher.draining = True
+        self._dispatcher.is_draining = True
         self._loop.call_later(ACCEPT_AFTER_SIGNAL_S, self._close_connections)
         self._loop.call_later(self._drain_timeout_s, self._fail_pending_requests)
 
--- a/testbed/simulated_gateways.py
+++ b/testbed/simulated_gateways.py
@@ -232,11 +232,11 @@
 
     def _inbound_request(self, tenant: int, units: float) -> InboundRequest:
         return InboundRequest(
-            wire_id=b"%x" % self.requests_sent,
+            x_request_id=b"%x" % self.requests_sent,
             class_name=gateway_configuration.class_of_request(self.requests_sent),
             plan_name=gateway_configuration.PLAN_NAME,
             tenant=f"{tenant:016x}",
-            time_left_ms=gateway_configuration.REQUEST_DEADLINE_MS,
+            remaining_ms=gateway_configuration.REQUEST_DEADLINE_MS,
             units=units,
             gateway_count=self._fleet_size,
             first_gateway=0,
--- a/testbed/simulated_pool.py
+++ b/testbed/simulated_pool.py
@@ -50,11 +50,11 @@
         max_connections: int,
         connect_timeout_ms: float,
         idle_timeout_ms: float,
-        attempt_ended: Callable[[Attempt, AttemptResult, Response | None], None],
+        on_attempt_ended: Callable[[Attempt, AttemptResult, Response | None], None],
         close_if_abandoned: Callable[[Attempt], bool],
     ) -> None:
         self._endpoints = endpoints
-        self._loop, self._ended = loop, attempt_ended
+        self._loop, self._ended = loop, on_attempt_ended
         self._idle_timeout_s = (
             idle_timeout_ms / 2000
         )  # half of the time after which endpoints close connections
@@ -111,10 +111,10 @@
 
     def send(self, attempt: Attempt) -> None:
         """Send an attempt on an idle connection or a new one."""
-        if not self._accepts_requests.get(attempt.endpoint):
+        if not self._accepts_requests.get(attempt.endpoint_name):
             self._loop.call_soon(self._end, attempt, AttemptResult.CONNECT_FAILED, None)
             return
-        idle = self._idle_connections(attempt.endpoint)
+        idle = self._idle_connections(attempt.endpoint_name)
         service_s = round(self._endpoints.service_times.draw(), 3)  # timers of the loop count milliseconds
         connect_s = 0.0
         if idle:
@@ -123,7 +123,7 @@
             self.connects += 1
             connect_s = CONNECT_S
         self._in_flight += 1
-        self._endpoints.attempts[attempt.endpoint] += 1
+        self._endpoints.attempts[attempt.endpoint_name] += 1
         self._loop.call_later(service_s + connect_s, self._respond, attempt, service_s)
 
     def _idle_connections(self, name: str) -> deque[float]:
@@ -134,13 +134,13 @@
 
     def _respond(self, attempt: Attempt, service_s: float) -> None:
         self._in_flight -= 1
-        if attempt.endpoint in self._accepts_requests:
-            self._idle.setdefault(attempt.endpoint, deque()).append(self._loop.time())
+        if attempt.endpoint_name in self._accepts_requests:
+            self._idle.setdefault(attempt.endpoint_name, deque()).append(self._loop.time())
         self._endpoints.current_service_s = service_s
         self._end(attempt, AttemptResult.OK, OK_RESPONSE)
         self._endpoints.current_service_s = 0.0
 
     def _end(self, attempt: Attempt, result: AttemptResult, reply: Response | None) -> None:
-        if not attempt.done:
-            attempt.done = True
+        if not attempt.is_done:
+            attempt.is_done = True
             self._ended(attempt, result, reply)
--- a/tests/support/dispatcher_driver.py
+++ b/tests/support/dispatcher_driver.py
@@ -21,7 +21,7 @@
 from api_gateway.network.dispatcher import Dispatcher, InboundRequest
 from support.http_fakes import CLASS_SETTINGS, LOOPBACK, PLAN_SETTINGS, FakeServer, instance
 
-ENDPOINT = "s-0"
+ENDPOINT_NAME = "s-0"
 _serial_numbers = itertools.count(1)
 
 
@@ -55,16 +55,16 @@
 
     Attributes:
         statuses: What it was answered; more than one is a fault.
-        disconnected: Set by a test to close its connection without telling the event loop.
+        is_disconnected: Set by a test to close its connection without telling the event loop.
     """
 
     def __init__(self) -> None:
         self.statuses: asyncio.Queue[int] = asyncio.Queue()
-        self.disconnected = False
+        self.is_disconnected = False
 
     def abort_if_disconnected(self) -> bool:
         """Return whether a test has closed its connection; there is nothing to abort."""
-        return self.disconnected
+        return self.is_disconnected
 
     def respond(
         self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_ms: float = 0.0
@@ -76,11 +76,11 @@
 def inbound_request(deadline_ms: float = 5000, body: bytes = b"") -> InboundRequest:
     """Return a valid request with an id of its own."""
     return InboundRequest(
-        wire_id=b"%d" % next(_serial_numbers),
+        x_request_id=b"%d" % next(_serial_numbers),
         class_name="pay",
         plan_name="team",
         tenant="0" * 16,
-        time_left_ms=deadline_ms,
+        remaining_ms=deadline_ms,
         units=1,
         gateway_count=1,
         first_gateway=0,
@@ -94,7 +94,7 @@
 async def start_dispatcher(
     monkeypatch: pytest.MonkeyPatch, endpoint: FakeServer
 ) -> tuple[Dispatcher, ScriptedDecisions]:
-    """Start an endpoint, and a dispatcher that knows it as `ENDPOINT`; discovery is not asked."""
+    """Start an endpoint, and a dispatcher that knows it as `ENDPOINT_NAME`; discovery is not asked."""
     monkeypatch.setattr(dispatcher_module, "Gateway", ScriptedDecisions)
     await endpoint.start()
     configuration = parse(
@@ -102,7 +102,7 @@
             "listen": f"{LOOPBACK}:0",
             "discovery": f"{LOOPBACK}:{endpoint.port}",
             "seed": "1",
-            "known": {"generation": 1, "reset": True, "instances": [instance(ENDPOINT, endpoint.port)]},
+            "known": {"generation": 1, "reset": True, "instances": [instance(ENDPOINT_NAME, endpoint.port)]},
             "settings": {"grades": CLASS_SETTINGS, "packages": PLAN_SETTINGS, "bounds": {"try_limit": 2}},
         }
     )
@@ -115,11 +115,11 @@
 def endpoint_list(endpoint: FakeServer, lifecycle: str) -> EndpointList:
     """Return the next list from discovery, in which the endpoint is in a state or, if "gone", missing."""
     removed = lifecycle == "gone"
-    instances = [] if removed else [instance(ENDPOINT, endpoint.port, lifecycle)]
+    instances = [] if removed else [instance(ENDPOINT_NAME, endpoint.port, lifecycle)]
     return parse_endpoint_list({"generation": 2, "reset": removed, "instances": instances})
 
 
-class HeldConnects:
+class BlockedConnectsLoop:
     """An event loop whose connects end only when a test releases them.
 
     Attributes:
@@ -153,7 +153,7 @@
             self.ended.set()
 
 
-class BreakingConnects:
+class BrokenConnectsLoop:
     """An event loop whose new connections are broken before they can be used."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -177,15 +177,15 @@
     dispatcher: Dispatcher
     decisions: ScriptedDecisions
     client: RecordingClient
-    connects: HeldConnects
+    connects: BlockedConnectsLoop
     request_id: str
 
 
-async def submit_with_held_connect(
+async def submit_with_blocked_connect(
     monkeypatch: pytest.MonkeyPatch,
     endpoint: FakeServer,
     *,
-    then: type[RejectRequest] | type[FailRequest] | None = RejectRequest,
+    action_on_end: type[RejectRequest] | type[FailRequest] | None = RejectRequest,
     timeout_ms: float = 5000,
     write_timeout_ms: float = math.inf,
 ) -> ConnectingRequest:
@@ -194,15 +194,17 @@
     Args:
         monkeypatch: Puts the scripted decisions in place.
         endpoint: The endpoint; it is started.
-        then: How the decisions answer the end of the attempt; None for not at all.
+        action_on_end: How the decisions answer the end of the attempt; None for not at all.
         timeout_ms: How long the attempt may take.
         write_timeout_ms: Within what time the attempt must be written.
     """
     dispatcher, decisions = await start_dispatcher(monkeypatch, endpoint)
-    dispatcher._pool._loop = connects = HeldConnects(dispatcher._loop)
+    dispatcher._pool._loop = connects = BlockedConnectsLoop(dispatcher._loop)
     client = RecordingClient()
-    decisions.next_actions[RequestReceived] = [StartAttempt("r1", ENDPOINT, timeout_ms, write_timeout_ms)]
-    if then is not None:
-        decisions.next_actions[AttemptEnded] = [then("r1")]
+    decisions.next_actions[RequestReceived] = [
+        StartAttempt("r1", ENDPOINT_NAME, timeout_ms, write_timeout_ms)
+    ]
+    if action_on_end is not None:
+        decisions.next_actions[AttemptEnded] = [action_on_end("r1")]
     request_id = dispatcher.submit(client, inbound_request())
     return ConnectingRequest(dispatcher, decisions, client, connects, request_id)
--- a/tests/support/http_fakes.py
+++ b/tests/support/http_fakes.py
@@ -10,7 +10,7 @@
 
 ROOT = Path(__file__).parent.parent.parent
 LOOPBACK = "127.0.0.1"
-DEFAULT_REQUEST_ID = b"9b1f03aa5c7e2d41"
+DEFAULT_X_REQUEST_ID = b"9b1f03aa5c7e2d41"
 CLASS_SETTINGS = [
     {"name": "read", "objective_ms": 3000.0, "deadline_ms": 6000.0, "worth": 3.0, "effect": "safe"},
     {
@@ -50,7 +50,7 @@
     plan: str = "team",
     body: bytes = b"",
     deadline: str = "6000m",
-    request_id: bytes = DEFAULT_REQUEST_ID,
+    x_request_id: bytes = DEFAULT_X_REQUEST_ID,
     method: str = "",
     without_header: str = "",
     extra_headers: str = "",
@@ -65,7 +65,7 @@
         plan: The tenant's plan.
         body: The request body.
         deadline: Value of X-Deadline.
-        request_id: Value of X-Request-Id.
+        x_request_id: Value of X-Request-Id.
         method: The method; by default GET for the class `read`, POST for all others.
         without_header: Name of a header that is left out.
         extra_headers: Further header lines, each with its CRLF.
@@ -75,7 +75,7 @@
     method = method or ("GET" if class_name == "read" else "POST")
     headers = {
         "Host": "origin.svc",
-        "X-Request-Id": request_id.decode(),
+        "X-Request-Id": x_request_id.decode(),
         "X-Class": class_name,
         "Plan": plan,
         "X-Deadline": deadline,
@@ -144,8 +144,8 @@
     Attributes:
         respond: Returns the bytes to answer a request with; None sends nothing, b"" resets the connection.
         received: All requests so far.
-        opened: Number of connections accepted so far.
-        closed: Number of connections that the other side has ended.
+        connections_opened: Number of connections accepted so far.
+        connections_closed: Number of connections that the other side has ended.
         writers: The open connections.
         changed: Set with each change of the attributes above.
         asyncio_server: The listening server, from `start` on.
@@ -155,8 +155,8 @@
     def __init__(self, respond: Responder) -> None:
         self.respond = respond
         self.received: list[ReceivedMessage] = []
-        self.opened = 0
-        self.closed = 0
+        self.connections_opened = 0
+        self.connections_closed = 0
         self.writers: set[asyncio.StreamWriter] = set()
         self.changed = asyncio.Event()
 
@@ -167,7 +167,7 @@
         return self
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.opened += 1
+        self.connections_opened += 1
         self.writers.add(writer)
         self.changed.set()
         try:
@@ -182,7 +182,7 @@
                 if response is not None:
                     writer.write(response)
         except (asyncio.IncompleteReadError, ConnectionError):
-            self.closed += 1
+            self.connections_closed += 1
             self.changed.set()
         finally:
             self.writers.discard(writer)
@@ -198,7 +198,7 @@
         """Wait until exactly `count` requests have been received."""
         await self.wait_until(lambda _: len(self.received) == count)
 
-    def received_ids(self) -> list[str]:
+    def received_x_request_ids(self) -> list[str]:
         """Return the X-Request-Id of each request, in the order of arrival."""
         return [request.headers["x-request-id"] for request in self.received]
 
@@ -207,11 +207,11 @@
         self.asyncio_server.close()
 
 
-def counter_response(request: ReceivedMessage, totals: dict[str, float]) -> bytes:
-    """Add the increment that a request names to `totals`, and return the response with the new total."""
+def counter_response(request: ReceivedMessage, counter_values: dict[str, float]) -> bytes:
+    """Add a request's increment to `counter_values`, and return the response with the new counter value."""
     name, query = request.start_line.split()[1].removeprefix("/v1/count/").split("?")
-    totals[name] = totals.get(name, 0.0) + float(query.split("&")[0].removeprefix("add="))
-    return response_bytes(f"{totals[name]:g}".encode())
+    counter_values[name] = counter_values.get(name, 0.0) + float(query.split("&")[0].removeprefix("add="))
+    return response_bytes(f"{counter_values[name]:g}".encode())
 
 
 class FakeDiscovery:
@@ -243,9 +243,9 @@
 
     async def publish(self, instances: list[dict], is_full: bool = False) -> None:
         """Answer the pending long poll with a new generation, and wait for the next poll."""
-        await self.answer_poll(lambda: self.list_response(instances, is_full))
+        await self.respond_to_poll(lambda: self.list_response(instances, is_full))
 
-    async def answer_poll(self, response: Callable[[], bytes]) -> None:
+    async def respond_to_poll(self, response: Callable[[], bytes]) -> None:
         """Answer the pending long poll with arbitrary bytes, and wait for the next request."""
         await self.server.wait_until(lambda _: bool(self.pending_polls))
         self.generation += 1
--- a/tests/test_acceptance_client_disconnect.py
+++ b/tests/test_acceptance_client_disconnect.py
@@ -10,7 +10,7 @@
 import socket
 
 import pytest
-from support.dispatcher_driver import ENDPOINT, HeldConnects, ScriptedDecisions, start_dispatcher
+from support.dispatcher_driver import ENDPOINT_NAME, BlockedConnectsLoop, ScriptedDecisions, start_dispatcher
 from support.http_fakes import LOOPBACK, FakeServer, request_bytes
 from support.program import run_scenario
 
@@ -20,8 +20,8 @@
 from api_gateway.network.dispatcher import Dispatcher
 from api_gateway.network.downstream.listener import Listener
 
-FIRST_REQUEST = request_bytes(request_id=b"0000000000000001")
-SECOND_REQUEST = request_bytes(request_id=b"0000000000000002")
+FIRST_REQUEST = request_bytes(x_request_id=b"0000000000000001")
+SECOND_REQUEST = request_bytes(x_request_id=b"0000000000000002")
 
 
 class Frontend:
@@ -72,13 +72,13 @@
         endpoint = FakeServer(lambda request: response)
         dispatcher, decisions = await start_dispatcher(monkeypatch, endpoint)
         frontend = Frontend(dispatcher, decisions, endpoint)
-        decisions.next_actions[RequestReceived] = [StartAttempt("r1", ENDPOINT, timeout_ms)]
+        decisions.next_actions[RequestReceived] = [StartAttempt("r1", ENDPOINT_NAME, timeout_ms)]
         client = frontend.connect(FIRST_REQUEST)
         request_id = await frontend.request_received()
         await endpoint.wait_until(lambda fake: len(fake.received) == 1)
         client.close()
         attempt = dispatcher._request_handler.requests.get(request_id).attempts[0]
-        decisions.next_actions[AttemptEnded] = [StartAttempt(request_id, ENDPOINT, 5000)]
+        decisions.next_actions[AttemptEnded] = [StartAttempt(request_id, ENDPOINT_NAME, 5000)]
         dispatcher._pool._abort(attempt, result)
         assert decisions.attempt_results()[-1] == AttemptResult.NOT_STARTED
         assert ClientDisconnected(request_id) in decisions.events
@@ -113,8 +113,8 @@
         if unread:
             client.sendall(unread)
         client.close()
-        decisions.next_actions[TimerFired] = [StartAttempt(request_id, ENDPOINT, 5000)]
-        dispatcher._post(TimerFired("x"))
+        decisions.next_actions[TimerFired] = [StartAttempt(request_id, ENDPOINT_NAME, 5000)]
+        dispatcher._post_event(TimerFired("x"))
         assert decisions.attempt_results()[-1] == AttemptResult.NOT_STARTED
         assert ClientDisconnected(request_id) in decisions.events
         await frontend.assert_requests_at_endpoint(0)
@@ -134,9 +134,9 @@
         client = frontend.connect(FIRST_REQUEST + SECOND_REQUEST)
         request_id = await frontend.request_received()
         client.close()
-        decisions.next_actions[RequestReceived] = [StartAttempt("r2", ENDPOINT, 5000)]
+        decisions.next_actions[RequestReceived] = [StartAttempt("r2", ENDPOINT_NAME, 5000)]
         decisions.next_actions[TimerFired] = [RejectRequest(request_id)]  # the second one follows at once
-        dispatcher._post(TimerFired("x"))
+        dispatcher._post_event(TimerFired("x"))
         await frontend.assert_requests_at_endpoint(0)
         assert AttemptResult.OK not in decisions.attempt_results()
         assert not dispatcher._request_handler.requests
@@ -154,16 +154,16 @@
     async def scenario() -> None:
         endpoint = FakeServer(lambda request: None)
         dispatcher, decisions = await start_dispatcher(monkeypatch, endpoint)
-        dispatcher._pool._loop = connects = HeldConnects(dispatcher._loop)
+        dispatcher._pool._loop = connects = BlockedConnectsLoop(dispatcher._loop)
         frontend = Frontend(dispatcher, decisions, endpoint)
-        decisions.next_actions[RequestReceived] = [StartAttempt("r1", ENDPOINT, 5000)]
+        decisions.next_actions[RequestReceived] = [StartAttempt("r1", ENDPOINT_NAME, 5000)]
         client = frontend.connect(FIRST_REQUEST)
         await frontend.request_received()
-        await endpoint.wait_until(lambda fake: fake.opened == 1)
+        await endpoint.wait_until(lambda fake: fake.connections_opened == 1)
         if connected:
             connects.release.set()  # reported in the next turn of the event loop
         client.close()
-        await endpoint.wait_until(lambda fake: fake.closed == 1)
+        await endpoint.wait_until(lambda fake: fake.connections_closed == 1)
         assert decisions.attempt_results() == [AttemptResult.WITHDRAWN]
         assert not endpoint.received
         assert not dispatcher._request_handler.requests
--- a/tests/test_acceptance_cold_endpoints.py
+++ b/tests/test_acceptance_cold_endpoints.py
@@ -16,7 +16,7 @@
     (200, 50, 1.0, "half"),
     (200, 120, 0.6, "none"),
 ]
-RAMPS = [  # overload multiple, length of the slow start in s, requests per s for each endpoint
+SLOW_STARTS = [  # overload multiple, length of the slow start in s, requests per s for each endpoint
     (1.2, 10, 15),
     (1.2, 5, 20),
     (2.5, 18, 12),
@@ -25,32 +25,42 @@
 ]
 
 
-@pytest.mark.parametrize(("gateways", "endpoints", "share", "started"), FLEETS)
-@pytest.mark.parametrize(("multiple", "cold_s", "rate"), RAMPS)
-def test_no_cold_endpoint_fails_under_the_sum_of_all_gateways(
-    gateways: int, endpoints: int, share: float, started: str, multiple: float, cold_s: float, rate: float
+@pytest.mark.parametrize(("gateways", "endpoints", "replaced_fraction", "restarted"), FLEETS)
+@pytest.mark.parametrize(("overload_multiple", "slow_start_s", "requests_per_s"), SLOW_STARTS)
+def test_no_cold_endpoint_is_overloaded_by_the_sum_of_all_gateways(
+    gateways: int,
+    endpoints: int,
+    replaced_fraction: float,
+    restarted: str,
+    overload_multiple: float,
+    slow_start_s: float,
+    requests_per_s: float,
 ) -> None:
     """Small and large multiples, short and long slow starts, low and high rates, uneven over the gateways."""
     simulation = FleetSimulation(
         gateways=gateways,
         endpoints=endpoints,
-        requests_per_s=rate,
-        overload_multiple=multiple,
-        slow_start_s=cold_s,
+        requests_per_s=requests_per_s,
+        overload_multiple=overload_multiple,
+        slow_start_s=slow_start_s,
         traffic_share_shape=1.0,
         seed=gateways + endpoints,
     )
-    if started != "all":
+    if restarted != "all":
         simulation.run(4)
-    replaced = simulation.replace_endpoints(list(simulation.endpoints)[: round(share * endpoints)])
-    if started == "half":
+    replaced = simulation.replace_endpoints(
+        list(simulation.endpoints)[: round(replaced_fraction * endpoints)]
+    )
+    if restarted == "half":
         for i in range(0, gateways, 2):
             simulation.restart_gateway(i)
-    simulation.run(cold_s + 1)
+    simulation.run(slow_start_s + 1)
     assert simulation.overloaded_endpoints() == []
     sent = sum(len(simulation.sent_at_ms[name]) for name in replaced)
-    least = 0.2 * rate * cold_s * len(replaced) * min(share, 1 - share)
-    assert sent > least, "cold endpoints must not be left idle"
+    min_sent = (
+        0.2 * requests_per_s * slow_start_s * len(replaced) * min(replaced_fraction, 1 - replaced_fraction)
+    )
+    assert sent > min_sent, "cold endpoints must not be left idle"
 
 
 def test_endpoints_that_become_warm_together_are_not_overloaded() -> None:
--- a/tests/test_acceptance_descriptors.py
+++ b/tests/test_acceptance_descriptors.py
@@ -40,7 +40,7 @@
     number = first_number
     while True:
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
-            if await program.request_status(request_bytes(request_id=b"%016x" % number)) == 200:
+            if await program.request_status(request_bytes(x_request_id=b"%016x" % number)) == 200:
                 return
         number += 1
 
@@ -70,9 +70,9 @@
             await until_descriptors_are_held(program, held)
             await send_until_served(program, 0x100)
             for fake in fakes:
-                opened = fake.opened
+                opened = fake.connections_opened
                 fake.asyncio_server = await asyncio.start_server(fake._serve, LOOPBACK, fake.port)
-                await fake.wait_until(lambda fake, opened=opened: fake.opened > opened)
+                await fake.wait_until(lambda fake, opened=opened: fake.connections_opened > opened)
                 await until_descriptors_are_held(program, held)
             await send_until_served(program, 0x10000)
             assert not [line for line in program.log if "accept_failed" in line or "Too many open" in line]
@@ -91,7 +91,7 @@
 
     async def scenario() -> None:
         async with RunningProgram(tmp_path, serve, sockets=MIN_DESCRIPTORS) as program:
-            await program.counter.wait_until(lambda fake: fake.opened == 4)
+            await program.counter.wait_until(lambda fake: fake.connections_opened == 4)
             own = MIN_DESCRIPTORS
             for _ in range(30):  # until the connection of the readiness check is gone
                 own = min(own, len(os.listdir(f"/proc/{program.process.pid}/fd")))
--- a/tests/test_acceptance_discovery.py
+++ b/tests/test_acceptance_discovery.py
@@ -70,7 +70,7 @@
 
     def __init__(self, simulation: DiscoverySimulation) -> None:
         self.simulation = simulation
-        self.closed = False
+        self.is_closed = False
 
     def write(self, data: bytes) -> None:
         self.simulation.request_written(self, data.decode().split()[1])
@@ -79,8 +79,8 @@
         self.simulation.call_later(0, self.end)
 
     def end(self) -> None:
-        if not self.closed:
-            self.closed = True
+        if not self.is_closed:
+            self.is_closed = True
             self.simulation.watch.handle_disconnect(self)
 
     def received_bytes(self) -> int:
@@ -108,7 +108,7 @@
         self._timers: list[tuple[float, int, SimulatedTimer]] = []
         self._last_timer = 0
         self._failures: Iterator[str] = iter(failures)
-        self._failures_left = len(failures)
+        self._remaining_failures = len(failures)
         self.watch = DiscoveryWatch(
             self, ("127.0.0.1", 1), self._list_received, rng, OLD_GENERATION, PollPolicy(spread_s)
         )
@@ -165,13 +165,13 @@
         if behaviour == "success" and self.changed_at is None:
             self.changed_at = self.now
         elif behaviour != "success":
-            self._failures_left -= 1
-            if not self._failures_left:
+            self._remaining_failures -= 1
+            if not self._remaining_failures:
                 self.changed_at = self.now
         return behaviour
 
     def _respond(self, connection: SimulatedConnection, status: int, generation: int) -> None:
-        if not connection.closed:
+        if not connection.is_closed:
             body = json.dumps({"generation": generation, "reset": False, "instances": []}).encode()
             self.watch.handle_response(connection, Response(status, {}, body, True), True)
 
--- a/tests/test_acceptance_idempotency_window.py
+++ b/tests/test_acceptance_idempotency_window.py
@@ -8,13 +8,13 @@
 
 import pytest
 from support.dispatcher_driver import (
-    ENDPOINT,
-    HeldConnects,
+    ENDPOINT_NAME,
+    BlockedConnectsLoop,
     RecordingClient,
     ScriptedDecisions,
     inbound_request,
     start_dispatcher,
-    submit_with_held_connect,
+    submit_with_blocked_connect,
 )
 from support.gateway_driver import KEYED, GatewayDriver, actions_of_type, endpoint
 from support.http_fakes import FakeServer, instance, response_bytes
@@ -57,14 +57,16 @@
     async def scenario() -> None:
         fake = FakeServer(serve)
         monkeypatch.setattr(ConnectionPool, "_start_write_timer", lambda self, attempt: None)
-        request = await submit_with_held_connect(monkeypatch, fake, then=FailRequest, write_timeout_ms=60_000)
-        await fake.wait_until(lambda fake: fake.opened == 1)
+        request = await submit_with_blocked_connect(
+            monkeypatch, fake, action_on_end=FailRequest, write_timeout_ms=60_000
+        )
+        await fake.wait_until(lambda fake: fake.connections_opened == 1)
         (attempt,) = request.dispatcher._pool._pending_connects
         attempt.write_deadline = time.monotonic() - 0.001
         request.connects.release.set()
         assert await request.client.statuses.get() == 502
         assert request.decisions.attempt_results() == [AttemptResult.WITHDRAWN]
-        await fake.wait_until(lambda fake: fake.closed == 1)
+        await fake.wait_until(lambda fake: fake.connections_closed == 1)
         assert not fake.received
         fake.stop()
 
@@ -77,10 +79,12 @@
     async def scenario() -> None:
         fake = FakeServer(serve)
         dispatcher, decisions = await start_dispatcher(monkeypatch, fake)
-        dispatcher._pool._loop = HeldConnects(dispatcher._loop)  # never released
+        dispatcher._pool._loop = BlockedConnectsLoop(dispatcher._loop)  # never released
         dispatcher._pool._connect_timeout_s = 60.0
         client, started = RecordingClient(), time.monotonic()
-        decisions.next_actions[RequestReceived] = [StartAttempt("r1", ENDPOINT, 5000, write_timeout_ms=30)]
+        decisions.next_actions[RequestReceived] = [
+            StartAttempt("r1", ENDPOINT_NAME, 5000, write_timeout_ms=30)
+        ]
         decisions.next_actions[AttemptEnded] = [FailRequest("r1")]
         dispatcher.submit(client, inbound_request())
         assert await client.statuses.get() == 502
@@ -95,10 +99,12 @@
     async def scenario() -> None:
         fake = FakeServer(serve)
         dispatcher, decisions = await start_dispatcher(monkeypatch, fake)
-        decisions.next_actions[RequestReceived] = [StartAttempt("r1", ENDPOINT, 5000, write_timeout_ms=-1)]
+        decisions.next_actions[RequestReceived] = [
+            StartAttempt("r1", ENDPOINT_NAME, 5000, write_timeout_ms=-1)
+        ]
         dispatcher.submit(RecordingClient(), inbound_request())
         assert decisions.attempt_results() == [AttemptResult.WITHDRAWN]
-        assert not fake.opened
+        assert not fake.connections_opened
         fake.stop()
 
     run_scenario(scenario, 3)
@@ -109,7 +115,7 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.transport.pause_reading()
-        self.opened += 1
+        self.connections_opened += 1
         self.connection = writer.transport
         self.changed.set()
 
@@ -118,9 +124,9 @@
     dispatcher: Dispatcher, decisions: ScriptedDecisions, *, write_timeout_ms: float
 ) -> str:
     """Submit a request that stays partly unsent, as its endpoint reads nothing; return its id."""
-    decisions.next_actions[RequestReceived] = [StartAttempt("r1", ENDPOINT, 5000, write_timeout_ms)]
+    decisions.next_actions[RequestReceived] = [StartAttempt("r1", ENDPOINT_NAME, 5000, write_timeout_ms)]
     request_id = dispatcher.submit(RecordingClient(), inbound_request(body=b"x" * 16_000_000))
-    while not any(connection.unsent for connection in dispatcher._pool._connections):
+    while not any(connection.has_unsent_data for connection in dispatcher._pool._connections):
         await asyncio.sleep(0)
     return request_id
 
@@ -141,7 +147,7 @@
             dispatcher.client_disconnected(request_id)
         elif reason == "request answered":
             decisions.next_actions[TimerFired] = [FailRequest(request_id)]
-            dispatcher._post(TimerFired("x"))
+            dispatcher._post_event(TimerFired("x"))
         while not decisions.attempt_results():
             await asyncio.sleep(0)
         assert decisions.attempt_results() == [AttemptResult.WITHDRAWN]
@@ -155,7 +161,7 @@
 def test_deadline_told_to_an_endpoint_is_the_time_left_at_the_write(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         fake = FakeServer(serve)
-        request = await submit_with_held_connect(monkeypatch, fake, then=None, timeout_ms=2000)
+        request = await submit_with_blocked_connect(monkeypatch, fake, action_on_end=None, timeout_ms=2000)
         (attempt,) = request.dispatcher._pool._pending_connects
         attempt.deadline -= 1.5  # as after a slow connect
         attempt.started_at -= 1.5
@@ -172,9 +178,9 @@
 
     async def scenario() -> None:
         fake = FakeServer(serve)
-        request = await submit_with_held_connect(monkeypatch, fake)
-        await fake.wait_until(lambda fake: fake.opened == 1)
-        restarted = {**instance(ENDPOINT, fake.port), "startedAtMs": 1e12}
+        request = await submit_with_blocked_connect(monkeypatch, fake)
+        await fake.wait_until(lambda fake: fake.connections_opened == 1)
+        restarted = {**instance(ENDPOINT_NAME, fake.port), "startedAtMs": 1e12}
         request.dispatcher._endpoints_updated(
             parse_endpoint_list({"generation": 2, "reset": False, "instances": [restarted]})
         )
--- a/tests/test_acceptance_restart.py
+++ b/tests/test_acceptance_restart.py
@@ -33,6 +33,6 @@
             started = time.monotonic()
             await program.launch()  # returns once it is ready
             assert time.monotonic() - started < MAX_STARTUP_S
-            assert await program.request_status(request_bytes(request_id=b"restarted")) == 200
+            assert await program.request_status(request_bytes(x_request_id=b"restarted")) == 200
 
     run_scenario(scenario, 30)
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -36,7 +36,7 @@
     return CounterClient(loop, address, timeout_ms, replies.put_nowait, connection_count), replies
 
 
-def test_late_response_is_not_taken_for_that_of_the_next_call() -> None:
+def test_late_response_is_not_matched_to_the_next_call() -> None:
     async def scenario() -> None:
         fake = FakeServer(lambda request: None)
         counter, replies = await start_client(fake, 400)
@@ -69,7 +69,7 @@
         (lambda request: b"HTTP/1.1 2x0 OK\r\n\r\n", CounterResult.MALFORMED_RESPONSE),
     ],
 )
-def test_result_of_a_call(respond: Responder, result: CounterResult) -> None:
+def test_response_determines_the_result_of_a_call(respond: Responder, result: CounterResult) -> None:
     async def scenario() -> None:
         fake = FakeServer(respond)
         counter, replies = await start_client(fake, 5000)
@@ -82,7 +82,7 @@
     run_scenario(scenario)
 
 
-def test_timeout_of_the_configuration_allows_for_late_responses() -> None:
+def test_configured_timeout_allows_for_late_responses() -> None:
     """A busy counter answers later than the configured time, and its totals are valid."""
 
     async def scenario() -> None:
@@ -125,7 +125,7 @@
         counter, replies = await start_client(fake, 30)
         counter.increment(IncrementCounter("a", 1, 1000))
         assert (await replies.get()).result == CounterResult.TIMED_OUT
-        await fake.wait_until(lambda fake: fake.closed == 1)
+        await fake.wait_until(lambda fake: fake.connections_closed == 1)
         fake.respond = lambda request: response_bytes(b"1")
         counter.increment(IncrementCounter("a", 1, 1000))
         await fake.wait_until(lambda fake: len(fake.received) == 2)
@@ -198,13 +198,15 @@
 
 
 @pytest.mark.parametrize(
-    ("stuck", "results"),
+    ("silent_count", "results"),
     [
         (1, {CounterResult.CONNECTION_LOST}),  # the connection is closed
         (2, {CounterResult.TIMED_OUT}),  # on more than one connection: the counter is slow
     ],
 )
-def test_single_silent_connection_is_given_up(stuck: int, results: set[CounterResult]) -> None:
+def test_single_silent_connection_is_closed_but_not_several(
+    silent_count: int, results: set[CounterResult]
+) -> None:
     async def scenario() -> None:
         silent: list[asyncio.StreamWriter] = []
 
@@ -218,13 +220,13 @@
         counter.start()
         while not all(connection.is_connected for connection in counter._connections):
             await asyncio.sleep(0.01)
-        for i in range(stuck):
+        for i in range(silent_count):
             counter.increment(IncrementCounter(f"stuck{i}", 1, 1000))
-        await fake.wait_until(lambda fake: len(silent) == stuck)
+        await fake.wait_until(lambda fake: len(silent) == silent_count)
         counter.increment(IncrementCounter("well", 1, 1000))
         assert (await replies.get()).result == CounterResult.OK
-        ends = [await replies.get() for _ in range(stuck)]
-        assert {end.result for end in ends} == results
+        late_replies = [await replies.get() for _ in range(silent_count)]
+        assert {end.result for end in late_replies} == results
         counter.stop()
         fake.stop()
 
@@ -237,11 +239,11 @@
         counter, replies = await start_client(fake, 5000)
         counter.increment(IncrementCounter("a", 1, 1000))
         assert (await replies.get()).result == CounterResult.CONNECTION_LOST
-        await fake.wait_until(lambda fake: fake.opened == 2)
+        await fake.wait_until(lambda fake: fake.connections_opened == 2)
         counter.stop()
-        await fake.wait_until(lambda fake: fake.closed == 1)
+        await fake.wait_until(lambda fake: fake.connections_closed == 1)
         await asyncio.sleep(0.2)  # longer than any backoff so far
-        assert fake.opened == 2  # a stopped client does not connect
+        assert fake.connections_opened == 2  # a stopped client does not connect
         fake.stop()
 
     run_scenario(scenario, 5)
@@ -270,7 +272,7 @@
     run_scenario(scenario)
 
 
-def test_total_of_the_old_counter_is_not_reported_after_a_change_of_address() -> None:
+def test_counter_value_of_the_old_counter_is_not_reported_after_a_change_of_address() -> None:
     async def scenario() -> None:
         old, new = FakeServer(lambda request: None), FakeServer(lambda request: response_bytes(b"2"))
         counter, replies = await start_client(old, 2000)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -54,13 +54,13 @@
 
     def __init__(self) -> None:
         self.polls: list[str] = []
-        self.dropped = self.closed = False
+        self.is_aborted = self.is_closed = False
 
     def write(self, data: bytes) -> None:
         self.polls.append(data.decode().split()[1])
 
     def abort(self) -> None:
-        self.dropped = True
+        self.is_aborted = True
 
 
 class FakeLoop:
@@ -110,7 +110,7 @@
     """Answer one poll with 503, and return the seconds of the backoff after it."""
     connection = loop.complete_connect()
     watch.handle_response(connection, response(503), True)
-    assert connection.dropped
+    assert connection.is_aborted
     watch.handle_disconnect(connection)
     return loop.fire()
 
@@ -128,14 +128,14 @@
 
 
 def test_first_polls_of_a_fleet_are_spread_over_the_time_they_take() -> None:
-    first = []
+    delays_s = []
     for seed in range(40):
         loop = FakeLoop()
         create_watch(loop, seed).start()
         assert not loop.connect_tasks
-        first.append(loop.fire())
+        delays_s.append(loop.fire())
         assert len(loop.connect_tasks) == 1
-    per_second = [sum(1 for at in first if s <= at < s + 1) for s in range(8)]
+    per_second = [sum(1 for at in delays_s if s <= at < s + 1) for s in range(8)]
     assert sum(per_second) == 40 and max(per_second) <= 12
 
 
@@ -149,8 +149,8 @@
         loop.fire()
         delays.append([reject_poll(loop, watch) for _ in range(5)])
     for turn in range(5):
-        of_turn = sorted(d[turn] for d in delays)
-        assert max(of_turn) <= MAX_POLL_CYCLE_S and len({round(x, 3) for x in of_turn}) > 30
+        delays_of_turn = sorted(d[turn] for d in delays)
+        assert max(delays_of_turn) <= MAX_POLL_CYCLE_S and len({round(x, 3) for x in delays_of_turn}) > 30
     mean = [sum(d[turn] for d in delays) / 40 for turn in range(5)]
     assert all(abs(m - MAX_POLL_CYCLE_S / 2) < 0.35 for m in mean)
 
@@ -193,13 +193,13 @@
     assert loop.complete_connect().polls == ["/v1/endpoints"] and not updates
 
 
-def answer_poll(watch: DiscoveryWatch, connection: FakeConnection) -> None:
+def respond_to_poll(watch: DiscoveryWatch, connection: FakeConnection) -> None:
     body = b'{"generation":9,"reset":false,"instances":[]}'
     watch.handle_response(connection, response(200, body), True)
 
 
 @pytest.mark.parametrize(("spread_s", "limit_s"), [(0.0, 6.0), (8.0, 6.0)])
-def test_silent_watch_is_replaced_before_a_change_must_be_known(spread_s: float, limit_s: float) -> None:
+def test_silent_connection_is_replaced_before_a_change_must_be_known(spread_s: float, limit_s: float) -> None:
     for seed in range(20):
         loop = FakeLoop()
         watch = create_watch(loop, seed, spread_s=spread_s)
@@ -207,9 +207,9 @@
         if spread_s:
             loop.fire()
         connection = loop.complete_connect()
-        answer_poll(watch, connection)
+        respond_to_poll(watch, connection)
         silent_since, polls = loop.now, len(connection.polls)
-        while not connection.dropped:
+        while not connection.is_aborted:
             loop.fire()
         watch.handle_disconnect(connection)
         while len(loop.connect_tasks) < 2:
@@ -227,7 +227,7 @@
     watch.start()
     for _ in range(8):
         started_at, connection = loop.now, loop.complete_connect()
-        while not connection.dropped:
+        while not connection.is_aborted:
             loop.fire()
         watch.handle_disconnect(connection)
         loop.fire()
@@ -238,7 +238,7 @@
     loop = FakeLoop()
     watch = create_watch(loop, spread_s=0.0)
     watch.start()
-    loop.connect_tasks[-1].connection.closed = True  # reported before the task is done
+    loop.connect_tasks[-1].connection.is_closed = True  # reported before the task is done
     loop.complete_connect()
     assert loop.fire() <= 2 * BACKOFF_BASE_S and len(loop.connect_tasks) == 2
 
@@ -278,24 +278,24 @@
     assert policy.spread_s == pytest.approx(spread_s)
 
 
-def test_full_list_is_not_given_up_while_more_of_it_arrives() -> None:
+def test_full_list_does_not_time_out_while_more_of_it_arrives() -> None:
     loop = FakeLoop()
     create_watch(loop, known_generation=None).start()
     connection = loop.complete_connect()
     received_bytes = iter([1000, 2000, 3000])
     connection.received_bytes = lambda: next(received_bytes, 3000)
     started_at = loop.now
-    while not connection.dropped:
+    while not connection.is_aborted:
         loop.fire()
     timeout_s = RESPONSE_TIMEOUT_S + 3 * PROGRESS_TIMEOUT_S
     assert timeout_s <= loop.now - started_at < timeout_s + 0.1
 
 
-def test_full_list_that_never_ends_is_given_up() -> None:
+def test_full_list_that_never_ends_times_out() -> None:
     loop = FakeLoop()
     create_watch(loop, known_generation=None).start()
     connection = loop.complete_connect()
     connection.received_bytes = lambda: int(1000 * loop.now) + 1
-    while not connection.dropped:
+    while not connection.is_aborted:
         loop.fire()
     assert FULL_LIST_TIMEOUT_S <= loop.now < FULL_LIST_TIMEOUT_S + 2 * PROGRESS_TIMEOUT_S
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -8,7 +8,7 @@
 import time
 
 import pytest
-from support.dispatcher_driver import ENDPOINT, RecordingClient, inbound_request, start_dispatcher
+from support.dispatcher_driver import ENDPOINT_NAME, RecordingClient, inbound_request, start_dispatcher
 from support.http_fakes import FakeServer, response_bytes
 from support.program import run_scenario
 
@@ -23,25 +23,27 @@
 from api_gateway.model.results import AttemptResult, CounterResult, RejectReason
 
 
-def test_deadline_timer_answers_in_time_and_later_actions_are_ignored(
+def test_deadline_timer_responds_in_time_and_later_actions_are_ignored(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
         endpoint = FakeServer(lambda request: None)
         dispatcher, decisions = await start_dispatcher(monkeypatch, endpoint)
         client, started = RecordingClient(), time.monotonic()
-        decisions.next_actions[RequestReceived] = [StartAttempt("r1", ENDPOINT, 5000)]  # in flight until 504
+        decisions.next_actions[RequestReceived] = [
+            StartAttempt("r1", ENDPOINT_NAME, 5000)
+        ]  # in flight until 504
         dispatcher.submit(client, inbound_request(300))
         assert await client.statuses.get() == 504
         assert time.monotonic() - started < 0.3
         assert decisions.events[-1] == ClientDisconnected("r1")
         assert len(endpoint.received) == 1
         decisions.next_actions[TimerFired] = [
-            StartAttempt("r1", ENDPOINT, 100),
+            StartAttempt("r1", ENDPOINT_NAME, 100),
             RejectRequest("r1"),
             FailRequest("r1"),
         ]
-        dispatcher._post(TimerFired("late"))
+        dispatcher._post_event(TimerFired("late"))
         assert decisions.attempt_results() == [AttemptResult.NOT_STARTED]
         await asyncio.sleep(0.05)
         assert client.statuses.empty() and len(endpoint.received) == 1
@@ -58,7 +60,7 @@
         endpoint = FakeServer(lambda request: None)
         dispatcher, decisions = await start_dispatcher(monkeypatch, endpoint)
         client, inbound = RecordingClient(), inbound_request()
-        inbound.wire_id = b"client-7"
+        inbound.x_request_id = b"client-7"
         decisions.next_actions[RequestReceived] = [
             RejectRequest("r1", retry_after_ms=40.0, reason=RejectReason.OVER_QUOTA)
         ]
@@ -80,7 +82,7 @@
         endpoint = FakeServer(lambda request: None)
         dispatcher, _ = await start_dispatcher(monkeypatch, endpoint)
         client, inbound = RecordingClient(), inbound_request(50)
-        inbound.wire_id = b"client-7"
+        inbound.x_request_id = b"client-7"
         dispatcher.submit(client, inbound)
         assert await client.statuses.get() == 504
         endpoint.stop()
@@ -97,7 +99,7 @@
         decisions.next_actions[RequestReceived] = RuntimeError("broken")
         dispatcher.submit(failed, inbound_request())
         assert await failed.statuses.get() == 500
-        decisions.next_actions[RequestReceived] = [StartAttempt("r2", ENDPOINT, 1000)]
+        decisions.next_actions[RequestReceived] = [StartAttempt("r2", ENDPOINT_NAME, 1000)]
         dispatcher.submit(served, inbound_request())
         assert await served.statuses.get() == 200
         endpoint.stop()
@@ -111,9 +113,9 @@
         dispatcher, decisions = await start_dispatcher(monkeypatch, endpoint)
         client = RecordingClient()
         decisions.next_actions[RequestReceived] = [
-            StartAttempt("r1", ENDPOINT, 1000),
+            StartAttempt("r1", ENDPOINT_NAME, 1000),
             StartAttempt("r1", "unknown", 1000),
-            StartAttempt("r1", ENDPOINT, 1000),  # above the limit of two
+            StartAttempt("r1", ENDPOINT_NAME, 1000),  # above the limit of two
         ]
         dispatcher.submit(client, inbound_request())
         assert decisions.attempt_results() == [AttemptResult.CONNECT_FAILED, AttemptResult.NOT_STARTED]
@@ -123,8 +125,8 @@
             CancelAttempt("r1", 0),
             FailRequest("r1"),
         ]
-        dispatcher._post(TimerFired("cancel"))
-        await endpoint.wait_until(lambda fake: fake.closed == 1)
+        dispatcher._post_event(TimerFired("cancel"))
+        await endpoint.wait_until(lambda fake: fake.connections_closed == 1)
         assert decisions.attempt_results() == [
             AttemptResult.CONNECT_FAILED,
             AttemptResult.NOT_STARTED,
@@ -145,14 +147,14 @@
         dispatcher, decisions = await start_dispatcher(monkeypatch, endpoint)
         client = RecordingClient()
         request_id = dispatcher.submit(client, inbound_request())
-        client.disconnected = True
-        decisions.next_actions[CounterReply] = [StartAttempt(request_id, ENDPOINT, 5000)]
-        dispatcher._post(CounterReply("n", CounterResult.OK, 1))
+        client.is_disconnected = True
+        decisions.next_actions[CounterReply] = [StartAttempt(request_id, ENDPOINT_NAME, 5000)]
+        dispatcher._post_event(CounterReply("n", CounterResult.OK, 1))
         assert decisions.attempt_results() == [AttemptResult.NOT_STARTED]
         assert decisions.events[-1].is_final
         assert not dispatcher._request_handler.requests
         await asyncio.sleep(0)
-        assert not endpoint.opened
+        assert not endpoint.connections_opened
         endpoint.stop()
 
     run_scenario(scenario, 3)
@@ -163,7 +165,7 @@
         endpoint = FakeServer(lambda request: None)
         dispatcher, decisions = await start_dispatcher(monkeypatch, endpoint)
         await asyncio.sleep(0.1)
-        decisions.next_actions[RequestReceived] = [StartAttempt("r1", ENDPOINT, 3000)]
+        decisions.next_actions[RequestReceived] = [StartAttempt("r1", ENDPOINT_NAME, 3000)]
         client = RecordingClient()
         dispatcher.submit(client, inbound_request())
         await endpoint.wait_until(
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -30,17 +30,17 @@
     def __init__(self) -> None:
         plan = dataclasses.replace(PLAN, name="team")
         self.settings = settings(classes=(SAFE,), plans=(plan,), fleet_size=1)
-        self.draining = False
-        self.terminated = False
+        self.is_draining = False
+        self.is_terminated = False
         self.request_ids: list[bytes] = []
 
     def is_ready(self) -> bool:
         return True
 
     def submit(self, client: DownstreamConnection, inbound_request: InboundRequest) -> str:
-        self.request_ids.append(inbound_request.wire_id)
+        self.request_ids.append(inbound_request.x_request_id)
         client.respond(200, b"served")
-        return inbound_request.wire_id.decode()
+        return inbound_request.x_request_id.decode()
 
     def client_disconnected(self, request_id: str) -> None:
         raise AssertionError("no request is in flight")
@@ -63,7 +63,7 @@
 
     def connect_and_request(self, request_id: bytes) -> socket.socket:
         """Open a connection, and send a request on it."""
-        return self.connect(request_bytes(request_id=request_id))
+        return self.connect(request_bytes(x_request_id=request_id))
 
     async def wait_for_requests(self, count: int) -> None:
         while len(self.dispatcher.request_ids) < count:
@@ -119,8 +119,8 @@
     running = RunningListener()
     active, idle = running.connect_and_request(b"a"), running.connect_and_request(b"b")
     assert await running.read(active) and await running.read(idle)
-    active.sendall(request_bytes(request_id=b"c"))
-    running.dispatcher.draining = True
+    active.sendall(request_bytes(x_request_id=b"c"))
+    running.dispatcher.is_draining = True
     assert not running.listener.close_idle()
     assert await running.is_served(active)
     assert await running.is_closed(idle)
@@ -135,9 +135,9 @@
     active, silent = running.connect(), running.connect()
     while len(running.listener.connections) < 2:
         await asyncio.sleep(0.001)
-    running.dispatcher.draining = True
+    running.dispatcher.is_draining = True
     assert not running.listener.close_idle()
-    active.sendall(request_bytes(request_id=b"a"))
+    active.sendall(request_bytes(x_request_id=b"a"))
     assert await running.is_served(active)
     while not running.listener.close_idle():
         await asyncio.sleep(0.01)
@@ -150,7 +150,7 @@
     oldest, second = running.connect_and_request(b"a"), running.connect_and_request(b"b")
     assert await running.read(oldest) and await running.read(second)
     running.listener._max_connections = 2
-    oldest.sendall(request_bytes(request_id=b"c"))
+    oldest.sendall(request_bytes(x_request_id=b"c"))
     assert running.listener._ensure_capacity()  # as for a third client
     assert await running.is_served(oldest)
     assert await running.is_closed(second)
@@ -161,7 +161,7 @@
     running = RunningListener()
     active, silent = running.connect_and_request(b"a"), running.connect_and_request(b"b")
     assert await running.read(active) and await running.read(silent)
-    active.sendall(request_bytes(request_id=b"c"))
+    active.sendall(request_bytes(x_request_id=b"c"))
     for connection in list(running.listener.connections):
         connection.enforce_timeouts(running.listener.loop.time() + IDLE_TIMEOUT_S + 1)
     assert await running.is_served(active)
@@ -171,6 +171,6 @@
 @async_test(limit_s=5)
 async def test_request_after_the_end_of_shutdown_is_rejected() -> None:
     running = RunningListener()
-    running.dispatcher.draining = running.dispatcher.terminated = True
+    running.dispatcher.is_draining = running.dispatcher.is_terminated = True
     client = running.connect_and_request(b"late")
     assert (await running.read(client)).startswith(b"HTTP/1.1 503") and not running.dispatcher.request_ids
--- a/tests/test_program_control.py
+++ b/tests/test_program_control.py
@@ -72,13 +72,13 @@
 async def test_sigterm_serves_late_requests_and_those_in_flight_before_exit(tmp_path: Path) -> None:
     async with RunningProgram(tmp_path, stay_silent) as program:
         (endpoint,) = program.endpoints
-        first = asyncio.create_task(program.request(request_bytes(request_id=b"first")))
+        first = asyncio.create_task(program.request(request_bytes(x_request_id=b"first")))
         await endpoint.wait_for_requests(1)
         idle_reader, _ = await program.connect()
         program.process.send_signal(signal.SIGTERM)
         while not any("draining" in line for line in program.log):
             await asyncio.sleep(0.01)
-        late = asyncio.create_task(program.request(request_bytes(request_id=b"late")))
+        late = asyncio.create_task(program.request(request_bytes(x_request_id=b"late")))
         await endpoint.wait_for_requests(2)
         assert await idle_reader.read() == b""  # idle, so closed while the others are still served
         assert program.process.returncode is None
@@ -111,7 +111,7 @@
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
             await reader.readexactly(1)
         await program.launch()
-        assert await program.request_status(request_bytes(request_id=b"after")) == 200
+        assert await program.request_status(request_bytes(x_request_id=b"after")) == 200
 
 
 @async_test()
@@ -119,7 +119,7 @@
     """Also where the environment named discovery at the start; requests in flight are served."""
     async with RunningProgram(tmp_path, stay_silent, serve) as program:
         await program.discovery.publish([instance("s-1", program.endpoints[1].port, "gone")])
-        task = asyncio.create_task(program.request(request_bytes(request_id=b"old")))
+        task = asyncio.create_task(program.request(request_bytes(x_request_id=b"old")))
         await program.endpoints[0].wait_for_requests(1)
         old_discovery, old_counter = program.discovery, program.counter
         for _ in range(2):
@@ -127,16 +127,16 @@
             await program.discovery.server.wait_until(
                 lambda server: any("after=" in request.start_line for request in server.received)
             )
-        await old_discovery.server.wait_until(lambda server: server.closed > 0)
+        await old_discovery.server.wait_until(lambda server: server.connections_closed > 0)
         assert "after=" not in program.discovery.server.received[0].start_line  # the full list first
-        data = request_bytes(request_id=b"new", tenant="0000000000000007")
+        data = request_bytes(x_request_id=b"new", tenant="0000000000000007")
         assert await program.request_status(data) == 200
-        assert program.endpoints[1].received_ids() == ["new"]
+        assert program.endpoints[1].received_x_request_ids() == ["new"]
         program.endpoints[0].received[0].writer.write(response_bytes(b"served"))
         assert (await task).body == b"served"
         await program.counter.wait_until(lambda server: len(server.received) > 0)
         assert old_counter is not program.counter
-        await old_counter.wait_until(lambda server: server.closed > 0)
+        await old_counter.wait_until(lambda server: server.connections_closed > 0)
 
 
 @pytest.mark.parametrize("raw", ["{", "[]", '{"settings": {"grades": []}}', None])
@@ -152,7 +152,7 @@
             while sum("configuration=kept" in line for line in program.log) < count:
                 await asyncio.sleep(0.01)
         assert await program.request_status(request_bytes()) == 200
-        assert program.discovery.server.closed == 0
+        assert program.discovery.server.connections_closed == 0
 
 
 @async_test()
@@ -175,13 +175,13 @@
     async with RunningProgram(tmp_path, serve, serve) as program:
         await program.discovery.publish([instance("s-0", program.endpoints[0].port, "draining")])
         for i in range(6):
-            assert await program.request_status(request_bytes(request_id=b"id-%d" % i)) == 200
+            assert await program.request_status(request_bytes(x_request_id=b"id-%d" % i)) == 200
         assert len(program.endpoints[0].received) == 0
         list_without_s1 = [instance("s-0", program.endpoints[0].port)]
         await program.discovery.publish(list_without_s1, is_full=True)
-        await program.endpoints[1].wait_until(lambda server: server.closed > 0)
+        await program.endpoints[1].wait_until(lambda server: server.connections_closed > 0)
         for i in range(6):
-            assert await program.request_status(request_bytes(request_id=b"more-%d" % i)) == 200
+            assert await program.request_status(request_bytes(x_request_id=b"more-%d" % i)) == 200
         assert (len(program.endpoints[0].received), len(program.endpoints[1].received)) == (6, 6)
 
 
@@ -208,7 +208,9 @@
         # The second further request shows that the response to the first one has been read.
         await server.wait_until(lambda server: len(server.received) > count + 1)
         assert asyncio.get_running_loop().time() - drain_began_s < 6.0
-        bodies = {(await program.request(request_bytes(request_id=b"after%02d" % i))).body for i in range(8)}
+        bodies = {
+            (await program.request(request_bytes(x_request_id=b"after%02d" % i))).body for i in range(8)
+        }
         assert bodies == {b"staying"}
 
 
@@ -240,7 +242,7 @@
         discovery.server.respond = respond
         discovery.server.received[-1].writer.transport.abort()  # the program repeats the request
         await starting
-        bodies = {(await program.request(request_bytes(request_id=b"id-%d" % i))).body for i in range(8)}
+        bodies = {(await program.request(request_bytes(x_request_id=b"id-%d" % i))).body for i in range(8)}
         assert bodies == {b"staying"}
 
 
@@ -248,10 +250,10 @@
 async def test_endpoint_may_change_its_address(tmp_path: Path) -> None:
     async with RunningProgram(tmp_path, serve, serve) as program:
         await program.discovery.publish([instance("s-1", program.endpoints[1].port, "gone")])
-        assert await program.request_status(request_bytes(request_id=b"before")) == 200
+        assert await program.request_status(request_bytes(x_request_id=b"before")) == 200
         await program.discovery.publish([instance("s-0", program.endpoints[1].port)])
-        assert await program.request_status(request_bytes(request_id=b"moved")) == 200
-        assert program.endpoints[1].received_ids() == ["moved"]
+        assert await program.request_status(request_bytes(x_request_id=b"moved")) == 200
+        assert program.endpoints[1].received_x_request_ids() == ["moved"]
 
 
 @pytest.mark.parametrize(
@@ -266,7 +268,7 @@
 @async_test(limit_s=12)  # before the timeout of the long poll
 async def test_malformed_discovery_response_keeps_the_list(tmp_path: Path, response: bytes) -> None:
     async with RunningProgram(tmp_path, serve) as program:
-        await program.discovery.answer_poll(lambda: response)  # returns with the next poll
+        await program.discovery.respond_to_poll(lambda: response)  # returns with the next poll
         assert await program.request_status(request_bytes()) == 200
 
 
@@ -283,10 +285,10 @@
             return response
 
         program.counter.respond = respond
-        assert (await program.request(request_bytes(request_id=b"first", plan="quick"))).body == b"served"
+        assert (await program.request(request_bytes(x_request_id=b"first", plan="quick"))).body == b"served"
         await program.counter.wait_until(lambda server: bool(malformed))
         program.counter.respond = lambda request: counter_response(request, program.totals)
-        assert (await program.request(request_bytes(request_id=b"second", plan="quick"))).body == b"served"
+        assert (await program.request(request_bytes(x_request_id=b"second", plan="quick"))).body == b"served"
         while sum("counter_response_malformed" in line for line in program.log) < len(malformed):
             await asyncio.sleep(0.01)
         assert sum("WARNING" in line for line in program.log) == len(malformed)
@@ -304,10 +306,10 @@
         for i, respond in enumerate(responders):
             program.counter.respond = respond
             for j in range(3):  # a new tenant needs a counter call
-                data = request_bytes(request_id=b"%d-%d" % (i, j), tenant=f"{1 + 3 * i + j:016x}")
+                data = request_bytes(x_request_id=b"%d-%d" % (i, j), tenant=f"{1 + 3 * i + j:016x}")
                 assert await program.request_status(data) == 200
         program.counter.stop()
-        last = request_bytes(request_id=b"last", tenant="0000000000000099")
+        last = request_bytes(x_request_id=b"last", tenant="0000000000000099")
         assert await program.request_status(last) == 200
 
 
@@ -321,7 +323,7 @@
     async with RunningProgram(tmp_path, serve) as program:
         program.counter.respond = respond
         for i in range(40):
-            data = request_bytes(request_id=b"id-%d" % i, tenant=f"{i + 1:016x}")
+            data = request_bytes(x_request_id=b"id-%d" % i, tenant=f"{i + 1:016x}")
             assert await program.request_status(data) == 200
         tenants = {request.start_line.split("?")[0].partition(".")[0] for request in program.counter.received}
         assert len(tenants) == 40
@@ -336,6 +338,6 @@
         tmp_path, lambda request: response_bytes(b"ok", headers=b"Billed-Units: %b\r\n" % figure)
     ) as program:
         for i in range(30):
-            assert await program.request_status(request_bytes(request_id=b"id-%d" % i)) == 200
+            assert await program.request_status(request_bytes(x_request_id=b"id-%d" % i)) == 200
         await program.counter.wait_until(lambda server: sum(program.totals.values()) > 0)
         assert sum(program.totals.values()) <= 60
--- a/tests/test_program_downstream.py
+++ b/tests/test_program_downstream.py
@@ -17,7 +17,7 @@
         tmp_path, lambda request: response_bytes(request.headers["x-request-id"].encode())
     ) as program:
         reader, writer = await program.connect()
-        writer.write(b"".join(request_bytes(request_id=b"id-%d" % i) for i in range(5)))
+        writer.write(b"".join(request_bytes(x_request_id=b"id-%d" % i) for i in range(5)))
         bodies = [(await read_message(reader, writer)).body for _ in range(5)]
         assert bodies == [b"id-%d" % i for i in range(5)]
         assert len(program.endpoints[0].received) == 5
@@ -38,7 +38,7 @@
     (request_bytes(method="POST"), 400),
     (request_bytes("put", method="GET"), 400),
     (request_bytes("put", has_idempotency_key=False), 400),
-    (request_bytes(request_id=b"two words"), 400),
+    (request_bytes(x_request_id=b"two words"), 400),
     (request_bytes(extra_headers="X-Class: read\r\n"), 400),
     *(
         (request_bytes(without_header="Quota-Info", extra_headers=f"Quota-Info: {info}\r\n"), 400)
@@ -94,7 +94,7 @@
         assert await reader.read() == b""
 
 
-SMUGGLED = b"0\r\n\r\n" + request_bytes(request_id=b"smuggled")
+SMUGGLED = b"0\r\n\r\n" + request_bytes(x_request_id=b"smuggled")
 
 
 @pytest.mark.parametrize(
@@ -121,7 +121,7 @@
             + SMUGGLED
         )
         assert b"HTTP/1.1 400" in (await reader.read())
-        assert "smuggled" not in program.endpoints[0].received_ids()
+        assert "smuggled" not in program.endpoints[0].received_x_request_ids()
 
 
 @async_test()
@@ -154,7 +154,7 @@
 async def test_number_of_pipelined_requests_is_bounded(tmp_path: Path) -> None:
     async with RunningProgram(tmp_path, serve) as program:
         reader, writer = await program.connect()
-        writer.write(b"".join(request_bytes(request_id=b"id-%d" % i) for i in range(300)))
+        writer.write(b"".join(request_bytes(x_request_id=b"id-%d" % i) for i in range(300)))
         responses = await reader.read()
         assert responses.endswith(b"Connection: close\r\n\r\n") and b"HTTP/1.1 400" in responses
         assert len(program.endpoints[0].received) == responses.count(b"HTTP/1.1 200") < 20
@@ -210,7 +210,7 @@
         writer.write(request_bytes("put"))
         await endpoint.wait_for_requests(1)
         writer.close()
-        await endpoint.wait_until(lambda server: server.closed == 1)
+        await endpoint.wait_until(lambda server: server.connections_closed == 1)
         assert len(endpoint.received) == 1
 
 
@@ -224,7 +224,7 @@
         with client:
             client.sendall(
                 b"".join(
-                    request_bytes(request_id=request_id) for request_id in (b"first", b"second", b"third")
+                    request_bytes(x_request_id=request_id) for request_id in (b"first", b"second", b"third")
                 )
             )
             await endpoint.wait_for_requests(1)
@@ -236,8 +236,8 @@
                     pass
             except ConnectionResetError:
                 pass
-        assert (await program.request(request_bytes(request_id=b"last"))).body == b"served"
-        assert endpoint.received_ids() == ["first", "last"]
+        assert (await program.request(request_bytes(x_request_id=b"last"))).body == b"served"
+        assert endpoint.received_x_request_ids() == ["first", "last"]
 
 
 @async_test(limit_s=10)
@@ -246,13 +246,13 @@
     async with RunningProgram(tmp_path, stay_silent, sockets=128) as program:
         (endpoint,) = program.endpoints
         reader, writer = await program.connect()
-        writer.write(request_bytes(request_id=b"open"))
+        writer.write(request_bytes(x_request_id=b"open"))
         await endpoint.wait_for_requests(1)
         connections = []
         for i in range(210):
             connections.append(await program.connect())
             connections[-1][1].write((b"", b"GET /api/", b"GET /ready HTTP/1.1\r\n\r\n")[i % 3])
-        task = asyncio.create_task(program.request(request_bytes(request_id=b"late")))
+        task = asyncio.create_task(program.request(request_bytes(x_request_id=b"late")))
         await endpoint.wait_for_requests(2)
         for request in endpoint.received:
             request.writer.write(response_bytes(b"served"))
--- a/tests/test_program_upstream.py
+++ b/tests/test_program_upstream.py
@@ -44,7 +44,7 @@
     """A rejected request is answered at once, not shortly before its deadline."""
     async with RunningProgram(tmp_path, serve) as program:
         responses = [
-            await program.request(request_bytes(plan="small", request_id=b"id-%d" % i)) for i in range(6)
+            await program.request(request_bytes(plan="small", x_request_id=b"id-%d" % i)) for i in range(6)
         ]
         rejected = [response for response in responses if response.start_line.split()[1] == "503"]
         assert rejected and len(program.endpoints[0].received) == len(responses) - len(rejected)
@@ -101,7 +101,7 @@
     async with RunningProgram(tmp_path, serve, serve) as program:
         program.endpoints[0].stop()  # its port refuses connections from now on
         for i in range(8):
-            assert await program.request_status(request_bytes("pay", request_id=b"id-%d" % i)) == 200
+            assert await program.request_status(request_bytes("pay", x_request_id=b"id-%d" % i)) == 200
         assert len(program.endpoints[1].received) == 8
 
 
@@ -111,11 +111,11 @@
         tmp_path, lambda request: None if request.headers["x-request-id"] == "silent" else serve(request)
     ) as program:
         (endpoint,) = program.endpoints
-        timed_out = request_bytes("pay", request_id=b"silent", deadline="400m")
+        timed_out = request_bytes("pay", x_request_id=b"silent", deadline="400m")
         assert await program.request_status(timed_out) in (502, 504)
-        await endpoint.wait_until(lambda server: server.closed == 1)
-        assert await program.request_status(request_bytes(request_id=b"next")) == 200
-        assert endpoint.received_ids() == ["silent", "next"]
+        await endpoint.wait_until(lambda server: server.connections_closed == 1)
+        assert await program.request_status(request_bytes(x_request_id=b"next")) == 200
+        assert endpoint.received_x_request_ids() == ["silent", "next"]
 
 
 @async_test()
@@ -123,7 +123,7 @@
     async with RunningProgram(tmp_path, serve) as program:
         reader, writer = await program.connect()
         for i in range(5):
-            writer.write(request_bytes(request_id=b"id-%d" % i))
+            writer.write(request_bytes(x_request_id=b"id-%d" % i))
             assert (await read_message(reader, writer)).body == b"served"
             await asyncio.sleep(5 * MIN_IDLE_BEFORE_REUSE_S)
         assert len({id(request.writer) for request in program.endpoints[0].received}) == 1
@@ -143,7 +143,7 @@
 
     async with RunningProgram(tmp_path, respond) as program:
         for i in range(10):
-            assert await program.request_status(request_bytes(request_id=b"id-%d" % i)) == 200
+            assert await program.request_status(request_bytes(x_request_id=b"id-%d" % i)) == 200
             await asyncio.sleep(5 * MIN_IDLE_BEFORE_REUSE_S)
         assert not any("endpoint_ejected" in line for line in program.log)
         assert len(program.endpoints[0].received) == 19  # each but the first found its connection reset once
@@ -187,17 +187,17 @@
     async with RunningProgram(
         tmp_path, lambda request: response if request.headers["x-request-id"] == "bad" else serve(request)
     ) as program:
-        assert await program.request_status(request_bytes("pay", request_id=b"bad")) == 502
-        await program.endpoints[0].wait_until(lambda server: server.closed == 1)
+        assert await program.request_status(request_bytes("pay", x_request_id=b"bad")) == 502
+        await program.endpoints[0].wait_until(lambda server: server.connections_closed == 1)
         for i in range(3):  # an ejected endpoint would get none
-            assert await program.request_status(request_bytes("pay", request_id=b"id-%d" % i)) == 200
+            assert await program.request_status(request_bytes("pay", x_request_id=b"id-%d" % i)) == 200
         assert program.process.returncode is None
 
 
 @pytest.mark.parametrize("late", [False, True])
 @pytest.mark.parametrize("more", [response_bytes(b"copy"), b"noise\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-"])
 @async_test()
-async def test_bytes_after_a_response_are_never_the_next_response(
+async def test_bytes_after_a_response_are_never_parsed_as_the_next_response(
     tmp_path: Path, more: bytes, late: bool
 ) -> None:
     """Neither right behind the response nor a packet later."""
@@ -213,7 +213,7 @@
     async with RunningProgram(tmp_path, respond) as program:
         reader, writer = await program.connect()
         for i in range(10):
-            writer.write(request_bytes("pay", request_id=b"id-%d" % i))
+            writer.write(request_bytes("pay", x_request_id=b"id-%d" % i))
             assert (await read_message(reader, writer)).body == b"id-%d" % i
         assert len({id(request.writer) for request in program.endpoints[0].received}) == 10
 
--- a/tests/test_request_parsing.py
+++ b/tests/test_request_parsing.py
@@ -46,11 +46,11 @@
     request = parsed_request(b"read", b"GET", x_retry=b"1")
     request.received_at_s = 17.0
     assert validate(request) == InboundRequest(
-        wire_id=b"id-1",
+        x_request_id=b"id-1",
         class_name="read",
         plan_name="basic",
         tenant="00000000b4d65521",
-        time_left_ms=250.0,
+        remaining_ms=250.0,
         units=1.5,
         gateway_count=2,
         first_gateway=1,
@@ -78,7 +78,7 @@
     ("value", "time_left_ms"), [(b"900u", 0.9), (b"250m", 250.0), (b"1.5m", 1.5), (b"60000m", 4000.0)]
 )
 def test_deadline_is_in_milliseconds_and_at_most_that_of_the_class(value: bytes, time_left_ms: float) -> None:
-    assert validate(parsed_request(b"read", b"GET", x_deadline=value)).time_left_ms == time_left_ms
+    assert validate(parsed_request(b"read", b"GET", x_deadline=value)).remaining_ms == time_left_ms
 
 
 @pytest.mark.parametrize(
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -35,7 +35,7 @@
 
     def __init__(self, loop: FakeLoop, deadline_ms: float) -> None:
         self.settings = settings(classes=(dataclasses.replace(SAFE, deadline_ms=deadline_ms),))
-        self.draining = False
+        self.is_draining = False
         self.failed_at: list[float] = []
         self._loop = loop
 
@@ -74,7 +74,7 @@
 
 def test_connections_are_accepted_after_the_signal_and_then_closed() -> None:
     loop, dispatcher, listener, shutdown = start_shutdown()
-    assert dispatcher.draining and not shutdown.finished.is_set()
+    assert dispatcher.is_draining and not shutdown.finished.is_set()
     loop.run_until(shutdown.finished.is_set)
     assert listener.called_at == [0.5] and loop.now == 0.5 and not dispatcher.failed_at
 
--- a/tests/test_upstream_pool.py
+++ b/tests/test_upstream_pool.py
@@ -4,13 +4,13 @@
 
 import pytest
 from support.dispatcher_driver import (
-    ENDPOINT,
-    BreakingConnects,
+    ENDPOINT_NAME,
+    BrokenConnectsLoop,
     RecordingClient,
     endpoint_list,
     inbound_request,
     start_dispatcher,
-    submit_with_held_connect,
+    submit_with_blocked_connect,
 )
 from support.http_fakes import FakeServer, response_bytes
 from support.program import run_scenario
@@ -32,9 +32,9 @@
     async def scenario() -> None:
         endpoint = FakeServer(serve)
         dispatcher, decisions = await start_dispatcher(monkeypatch, endpoint)
-        dispatcher._pool._loop = BreakingConnects(dispatcher._loop)
+        dispatcher._pool._loop = BrokenConnectsLoop(dispatcher._loop)
         client = RecordingClient()
-        decisions.next_actions[RequestReceived] = [StartAttempt("r1", ENDPOINT, 5000)]
+        decisions.next_actions[RequestReceived] = [StartAttempt("r1", ENDPOINT_NAME, 5000)]
         decisions.next_actions[AttemptEnded] = [RejectRequest("r1")]
         dispatcher.submit(client, inbound_request())
         assert await client.statuses.get() == 503
@@ -52,16 +52,16 @@
 
     async def scenario() -> None:
         endpoint = FakeServer(serve)
-        request = await submit_with_held_connect(monkeypatch, endpoint)
+        request = await submit_with_blocked_connect(monkeypatch, endpoint)
         # Only the check at the write is left.
         monkeypatch.setattr(request.dispatcher._pool, "withdraw_pending_connects", lambda: None)
         await request.connects.started.wait()
-        await endpoint.wait_until(lambda fake: fake.opened == 1)
+        await endpoint.wait_until(lambda fake: fake.connections_opened == 1)
         request.connects.release.set()
         request.dispatcher._endpoints_updated(endpoint_list(endpoint, lifecycle))
         assert await request.client.statuses.get() == 503
         assert request.decisions.attempt_results() == [AttemptResult.WITHDRAWN]
-        await endpoint.wait_until(lambda fake: fake.closed == 1)
+        await endpoint.wait_until(lambda fake: fake.connections_closed == 1)
         assert not [request for request in endpoint.received if "/api/" in request.start_line]
         endpoint.stop()
 
@@ -76,7 +76,7 @@
 
     async def scenario() -> None:
         endpoint = FakeServer(serve)
-        request = await submit_with_held_connect(monkeypatch, endpoint)
+        request = await submit_with_blocked_connect(monkeypatch, endpoint)
         await request.connects.started.wait()
         request.dispatcher._endpoints_updated(endpoint_list(endpoint, lifecycle))
         assert request.client.statuses.get_nowait() == 503
@@ -95,12 +95,12 @@
         dispatcher, decisions = await start_dispatcher(monkeypatch, endpoint)
         dispatcher._endpoints_updated(endpoint_list(endpoint, "draining"))
         client = RecordingClient()
-        decisions.next_actions[RequestReceived] = [StartAttempt("r1", ENDPOINT, 5000)]
+        decisions.next_actions[RequestReceived] = [StartAttempt("r1", ENDPOINT_NAME, 5000)]
         decisions.next_actions[AttemptEnded] = [RejectRequest("r1")]
         dispatcher.submit(client, inbound_request())
         assert client.statuses.get_nowait() == 503
         assert decisions.attempt_results() == [AttemptResult.WITHDRAWN]
-        assert not endpoint.opened
+        assert not endpoint.connections_opened
         endpoint.stop()
 
     run_scenario(scenario, 3)
@@ -114,20 +114,20 @@
 
     async def scenario() -> None:
         endpoint = FakeServer(serve)
-        request = await submit_with_held_connect(monkeypatch, endpoint, then=None)
+        request = await submit_with_blocked_connect(monkeypatch, endpoint, action_on_end=None)
         dispatcher, decisions = request.dispatcher, request.decisions
-        await endpoint.wait_until(lambda fake: fake.opened == 1)
-        request.client.disconnected = True
+        await endpoint.wait_until(lambda fake: fake.connections_opened == 1)
+        request.client.is_disconnected = True
         if reported:
             dispatcher.client_disconnected(request.request_id)
         request.connects.release.set()
-        await endpoint.wait_until(lambda fake: fake.closed == 1)
+        await endpoint.wait_until(lambda fake: fake.connections_closed == 1)
         assert not endpoint.received and request.client.statuses.empty()
         assert decisions.attempt_results() == [AttemptResult.WITHDRAWN]
         assert decisions.events[-1].is_final
         assert ClientDisconnected(request.request_id) in decisions.events
         assert not dispatcher._request_handler.requests
-        assert not dispatcher._request_handler.requests._wire_ids
+        assert not dispatcher._request_handler.requests._x_request_ids
         endpoint.stop()
 
     run_scenario(scenario, 3)
