--- a/api_gateway/decisions/attempt_flow.py
+++ b/api_gateway/decisions/attempt_flow.py
@@ -89,7 +89,7 @@
         if not attempt.is_in_flight:
             return
         self._pending.end_attempt(attempt, event.result.never_ran)
-        self._sampler.record_outcome(pending, attempt, event, now_ms)
+        self._sampler.record_attempt_result(pending, attempt, event, now_ms)
         if event.result is not AttemptResult.NOT_STARTED:
             self._judge_endpoint(pending, attempt.endpoint, event, now_ms)
         if event.result is AttemptResult.OK:
--- a/api_gateway/decisions/gateway.py
+++ b/api_gateway/decisions/gateway.py
@@ -246,7 +246,7 @@
 
     def _is_pressed(self) -> bool:
         """Whether endpoints are overloaded or ejected, or hold much of this gateway's work."""
-        is_shedding = self.admission.fraction < PRESSED_FRACTION
+        is_shedding = self.admission.admitted_fraction < PRESSED_FRACTION
         is_loaded = 2 * self.pending.in_flight > len(self.subset.warm)
         return is_shedding or self.outliers.is_majority_ejected or is_loaded
 
--- a/api_gateway/decisions/load_sampling.py
+++ b/api_gateway/decisions/load_sampling.py
@@ -6,10 +6,10 @@
 
 from api_gateway.decisions.admission import (
     MIN_OCCUPANCY_SAMPLES,
-    OVERDUE_OBJECTIVE_PART,
+    OVERDUE_OBJECTIVE_FRACTION,
     AdmissionController,
 )
-from api_gateway.decisions.occupancy import FEW_SAMPLES
+from api_gateway.decisions.occupancy import MIN_RELIABLE_SAMPLES
 from api_gateway.decisions.outlier_detection import OutlierDetector
 from api_gateway.decisions.pending_requests import Attempt, PendingRequest, PendingRequests
 from api_gateway.decisions.rate_limited_log import RateLimitedLog
@@ -23,8 +23,8 @@
 from api_gateway.model.settings import Settings
 
 MAX_SAMPLES_PER_UPDATE = 125  # outcomes after which admission is updated before the next sweep (SiRED)
-CHANCE_STANDARD_DEVIATIONS = 2.0  # by which the attempts in flight may differ from their mean by chance
-UNINFORMATIVE = CONNECTION_FAILURES | {
+DELAY_NOISE_STANDARD_DEVIATIONS = 2.0  # by which the attempts in flight may differ from their mean by chance
+UNINFORMATIVE_RESULTS = CONNECTION_FAILURES | {
     AttemptResult.CANCELLED,
     AttemptResult.MALFORMED_RESPONSE,
     AttemptResult.LOCAL_LIMIT,
@@ -69,7 +69,7 @@
         self._sweep_timer = sweep_timer
         self._log = log
 
-    def record_outcome(
+    def record_attempt_result(
         self, pending: PendingRequest, attempt: Attempt, event: AttemptEnded, now_ms: float
     ) -> None:
         """Take in the end of an attempt."""
@@ -87,7 +87,7 @@
         Returns:
             The latency in parts of the objective; None if the end of the attempt does not tell it.
         """
-        if attempt.started_at_ms < self._sweep_timer.stalled_at_ms or event.result in UNINFORMATIVE:
+        if attempt.started_at_ms < self._sweep_timer.stalled_at_ms or event.result in UNINFORMATIVE_RESULTS:
             return None
         if self._outliers.is_outlier(attempt.endpoint):
             return None  # a few bad endpoints would shed load for all; they are ejected instead
@@ -108,32 +108,32 @@
         """Record an answer, beside the queueing delay that the attempts in flight predict (Little's law)."""
         occupancy = self._admission.occupancy
         completions = self._traffic.completion_rate * self._uptime.age_ms(now_ms)
-        trust = min(
-            completions / (3 * FEW_SAMPLES), 1.0
+        confidence = min(
+            completions / (3 * MIN_RELIABLE_SAMPLES), 1.0
         )  # predicted from two or three completions it is noise
-        delay_ms, chance_ms = self._predicted_delay_ms()
-        occupancy.record_response(class_name, latency, delay_ms, chance_ms, trust)
+        predicted_delay_ms, delay_noise_ms = self._predicted_delay_ms()
+        occupancy.record_response(class_name, latency, predicted_delay_ms, delay_noise_ms, confidence)
 
     def _predicted_delay_ms(self) -> tuple[float, float]:
         """Return the queueing delay of a new attempt, and how much of it may be chance, in milliseconds."""
-        rate, baseline_ms = self._traffic.completion_rate, self._admission.occupancy.baseline_ms
-        if rate <= 0:
+        completion_rate, baseline_ms = self._traffic.completion_rate, self._admission.occupancy.baseline_ms
+        if completion_rate <= 0:
             return 0.0, 0.0
         in_flight = self._pending.in_flight - sum(e.in_flight for e in self._subset.ejected)
-        chance_ms = CHANCE_STANDARD_DEVIATIONS * math.sqrt(baseline_ms / rate)
-        return in_flight / rate - baseline_ms, chance_ms
+        delay_noise_ms = DELAY_NOISE_STANDARD_DEVIATIONS * math.sqrt(baseline_ms / completion_rate)
+        return in_flight / completion_rate - baseline_ms, delay_noise_ms
 
     def update_admission(self, now_ms: float) -> None:
         """Update the fraction of requests admitted from the samples so far."""
         occupancy = self._admission.occupancy
-        if not occupancy.update(self._admission.fraction) and not self._pending:
+        if not occupancy.update(self._admission.admitted_fraction) and not self._pending:
             # With few requests near the minimal fraction, occupancy would stay high long after an overload.
             occupancy.decay(1 - SWEEP_INTERVAL_MS / self._longest_objective_ms)
-        overdue = 0
+        overdue_requests = 0
         if occupancy.sample_count < MIN_OCCUPANCY_SAMPLES:
-            overdue = self._pending.count_overdue(OVERDUE_OBJECTIVE_PART, now_ms)
-        self._admission.update(overdue)
-        fraction = self._admission.fraction
-        if fraction < PRESSED_FRACTION:
-            details = f"occupancy={occupancy.smoothed:.2f} admitted_fraction={fraction:.2f}"
+            overdue_requests = self._pending.count_overdue(OVERDUE_OBJECTIVE_FRACTION, now_ms)
+        self._admission.update(overdue_requests)
+        admitted_fraction = self._admission.admitted_fraction
+        if admitted_fraction < PRESSED_FRACTION:
+            details = f"occupancy={occupancy.smoothed:.2f} admitted_fraction={admitted_fraction:.2f}"
             self._log.write("load_shedding", details, now_ms)
--- a/api_gateway/decisions/occupancy.py
+++ b/api_gateway/decisions/occupancy.py
@@ -15,20 +15,20 @@
 from api_gateway.model.settings import RequestClass
 
 MIN_SHED_OCCUPANCY = 0.2  # Qmin of SiRED: occupancy up to which all is admitted
-REMEMBERED_SAMPLES = 20.0  # memory of the smoothed occupancy, and requests in a block of one class
-FEW_SAMPLES = 5.0  # below so many an estimate weighs less
+SMOOTHING_SAMPLES = 20.0  # memory of the smoothed occupancy, and requests in a block of one class
+MIN_RELIABLE_SAMPLES = 5.0  # below so many an estimate weighs less
 MAX_INTERVAL_WEIGHT = 0.3  # most that the mean of one interval weighs in the smoothed occupancy
 MAX_BASELINE = 0.45  # part of the objective above which no answers count as a baseline
-BLOCK_DURATION_MS = (
+MIN_BLOCK_DURATION_MS = (
     1000.0  # over which the requests of a block are sent, so that queues come and go within it
 )
-BLOCK_MAX_REQUESTS = 80.0  # requests that are enough for a block in any time
-REMEMBERED_SPREAD_SAMPLES = 100.0  # memory of how much the latencies of a class vary
+MAX_BLOCK_REQUESTS = 80.0  # requests that are enough for a block in any time
+VARIANCE_SMOOTHING_SAMPLES = 100.0  # memory of how much the latencies of a class vary
 NOISE_STANDARD_DEVIATIONS = 3.0  # distance from the baseline within which occupancy is taken for chance
 BASELINE_STANDARD_ERRORS = 3.0  # by which the least of several means lies too low
-BASELINE_RISE_MS = 300000.0  # time in which the baseline follows answers that stay slow
-LOST_RESPONSE_LATENCIES = 4.0  # after so many typical latencies an answer is taken for lost
-PREDICTION_WEIGHT = 0.5  # weight of the predicted queueing delay beside the latency of an answer
+BASELINE_RISE_TIME_MS = 300000.0  # time in which the baseline follows answers that stay slow
+LOST_RESPONSE_LATENCY_MULTIPLE = 4.0  # after so many typical latencies an answer is taken for lost
+MAX_PREDICTION_WEIGHT = 0.5  # weight of the predicted queueing delay beside the latency of an answer
 
 
 class LatencyBlock:
@@ -38,21 +38,21 @@
     over-represented.
 
     Args:
-        began_at_ms: When its first request was sent.
+        started_at_ms: When its first request was sent.
     """
 
-    def __init__(self, began_at_ms: float) -> None:
-        self.began_at_ms = began_at_ms
-        self.sent = 0
+    def __init__(self, started_at_ms: float) -> None:
+        self.started_at_ms = started_at_ms
+        self.sent_count = 0
         self.in_flight = 0
-        self.answered = 0
+        self.response_count = 0
         self.latency_sum = 0.0  # in parts of the objective
 
     def is_full(self, now_ms: float) -> bool:
         """Whether it has enough requests, over a time long enough for queues to come and go."""
-        elapsed_ms = now_ms - self.began_at_ms
-        needed = REMEMBERED_SAMPLES if elapsed_ms >= BLOCK_DURATION_MS else BLOCK_MAX_REQUESTS
-        return self.sent >= needed
+        elapsed_ms = now_ms - self.started_at_ms
+        min_requests = SMOOTHING_SAMPLES if elapsed_ms >= MIN_BLOCK_DURATION_MS else MAX_BLOCK_REQUESTS
+        return self.sent_count >= min_requests
 
 
 class ClassLatency:
@@ -64,21 +64,21 @@
 
     def __init__(self, latency_objective_ms: float) -> None:
         self.latency_objective_ms = latency_objective_ms
-        self.count = 0
+        self.sample_count = 0
         self.mean = 0.0
         self.variance = 0.0
         self.learned_baseline: float | None = None  # None until a block is complete
         self.standard_error = 0.0  # of the mean of a block
-        self._block: LatencyBlock | None = None
+        self._current_block: LatencyBlock | None = None
         self._block_completed_at_ms = 0.0
 
     def start_attempt(self, now_ms: float) -> LatencyBlock:
         """Note an attempt, and return the block that it belongs to."""
-        if self._block is None or self._block.is_full(now_ms):
-            self._block = LatencyBlock(now_ms)
-        self._block.sent += 1
-        self._block.in_flight += 1
-        return self._block
+        if self._current_block is None or self._current_block.is_full(now_ms):
+            self._current_block = LatencyBlock(now_ms)
+        self._current_block.sent_count += 1
+        self._current_block.in_flight += 1
+        return self._current_block
 
     def end_attempt(self, block: LatencyBlock, latency: float | None, now_ms: float) -> None:
         """Note the end of an attempt.
@@ -90,31 +90,33 @@
         """
         block.in_flight -= 1
         if latency is not None:
-            block.answered += 1
+            block.response_count += 1
             block.latency_sum += latency
-            self._record(latency)
-        if not block.in_flight and block.is_full(now_ms) and 2 * block.answered >= block.sent:
+            self._record_latency(latency)
+        if not block.in_flight and block.is_full(now_ms) and 2 * block.response_count >= block.sent_count:
             self._learn_baseline(block, now_ms)
 
-    def _record(self, latency: float) -> None:
-        self.count += 1
+    def _record_latency(self, latency: float) -> None:
+        self.sample_count += 1
         offset = latency - self.mean
-        self.mean += offset * max(1 / self.count, 1 / REMEMBERED_SAMPLES)
+        self.mean += offset * max(1 / self.sample_count, 1 / SMOOTHING_SAMPLES)
         self.variance += (offset * offset - self.variance) * max(
-            1 / self.count, 1 / REMEMBERED_SPREAD_SAMPLES
+            1 / self.sample_count, 1 / VARIANCE_SMOOTHING_SAMPLES
         )
 
     def _learn_baseline(self, block: LatencyBlock, now_ms: float) -> None:
         """Lower the baseline to the least mean of all blocks; raise it slowly where answers stay slow."""
-        if block is self._block:
-            self._block = None
-        mean = block.latency_sum / block.answered
-        self.standard_error = self.standard_deviation / math.sqrt(block.answered)
+        if block is self._current_block:
+            self._current_block = None
+        mean = block.latency_sum / block.response_count
+        self.standard_error = self.standard_deviation / math.sqrt(block.response_count)
         if self.learned_baseline is None or mean < self.learned_baseline:
             self.learned_baseline = mean
         else:
             elapsed_ms = now_ms - self._block_completed_at_ms
-            self.learned_baseline += (mean - self.learned_baseline) * min(elapsed_ms / BASELINE_RISE_MS, 1.0)
+            self.learned_baseline += (mean - self.learned_baseline) * min(
+                elapsed_ms / BASELINE_RISE_TIME_MS, 1.0
+            )
         self._block_completed_at_ms = now_ms
 
     @property
@@ -138,13 +140,13 @@
     @property
     def standard_deviation(self) -> float:
         """Standard deviation of a latency; few answers are taken to vary as much as their mean."""
-        weighted = self.variance * self.count + self.mean**2 * FEW_SAMPLES
-        return math.sqrt(weighted / (self.count + FEW_SAMPLES))
+        weighted_sum = self.variance * self.sample_count + self.mean**2 * MIN_RELIABLE_SAMPLES
+        return math.sqrt(weighted_sum / (self.sample_count + MIN_RELIABLE_SAMPLES))
 
     @property
     def may_miss_objective_when_idle(self) -> bool:
         """Whether answers of typical work miss the objective now and then on idle endpoints."""
-        return LOST_RESPONSE_LATENCIES * self.baseline >= 1.0
+        return LOST_RESPONSE_LATENCY_MULTIPLE * self.baseline >= 1.0
 
     def occupancy(self, latency: float) -> float:
         """Return the occupancy that a latency shows: what lies above the baseline counts."""
@@ -163,8 +165,8 @@
         self.smoothed = 0.0  # q of SiRED
         self.sample_count = 0
         self.pending_samples = 0  # since the last update
-        self.recent_good = 0.0  # mean of the last answers in time
-        self.lost_response_ratio = 0.0  # responses that never came while others were fast
+        self.recent_response_occupancy = 0.0  # mean of the last answers in time
+        self.lost_response_fraction = 0.0  # responses that never came while others were fast
         self.baseline_ms = 0.0  # latency of the last answers' classes on idle endpoints, in the mean
         self._pending_sum = 0.0
         self._pending_variance = 0.0
@@ -172,7 +174,12 @@
         self._baseline_excess = 0.0  # of the last answers' classes, in the mean
 
     def record_response(
-        self, class_name: str, latency: float, predicted_delay_ms: float, chance_delay_ms: float, trust: float
+        self,
+        class_name: str,
+        latency: float,
+        predicted_delay_ms: float,
+        delay_noise_ms: float,
+        confidence: float,
     ) -> None:
         """Take in an answer.
 
@@ -181,23 +188,25 @@
             latency: Its latency in parts of the objective.
             predicted_delay_ms: Queueing delay beyond the baseline that the attempts in flight predict for a
                 new one; below 0 for less than the baseline.
-            chance_delay_ms: How much of that may be chance.
-            trust: Weight of the prediction, 0 to 1.
+            delay_noise_ms: How much of that may be chance.
+            confidence: Weight of the prediction, 0 to 1.
         """
         class_latency = self.classes[class_name]
         baseline = class_latency.baseline
         excess = class_latency.baseline_excess
         self.baseline_ms += (
             baseline * class_latency.latency_objective_ms - self.baseline_ms
-        ) / REMEMBERED_SAMPLES
-        self._baseline_excess += (excess - self._baseline_excess) / REMEMBERED_SAMPLES
+        ) / SMOOTHING_SAMPLES
+        self._baseline_excess += (excess - self._baseline_excess) / SMOOTHING_SAMPLES
         sample = class_latency.occupancy(latency)
         weight = 0.0  # answers lag behind at a start, and what may be chance predicts nothing
-        if class_latency.learned_baseline is not None and abs(predicted_delay_ms) > excess * chance_delay_ms:
-            weight = PREDICTION_WEIGHT * trust * (1.0 - excess * chance_delay_ms / abs(predicted_delay_ms))
+        if class_latency.learned_baseline is not None and abs(predicted_delay_ms) > excess * delay_noise_ms:
+            weight = (
+                MAX_PREDICTION_WEIGHT * confidence * (1.0 - excess * delay_noise_ms / abs(predicted_delay_ms))
+            )
         variance = class_latency.standard_deviation**2
-        self.recent_good += (sample - self.recent_good) / FEW_SAMPLES
-        self.lost_response_ratio -= self.lost_response_ratio / (4 * FEW_SAMPLES)
+        self.recent_response_occupancy += (sample - self.recent_response_occupancy) / MIN_RELIABLE_SAMPLES
+        self.lost_response_fraction -= self.lost_response_fraction / (4 * MIN_RELIABLE_SAMPLES)
         predicted_latency = min(baseline + predicted_delay_ms / class_latency.latency_objective_ms, 1.0)
         predicted = class_latency.occupancy(predicted_latency)
         self._add(sample + weight * (predicted - sample), (1 - weight) ** 2 * variance)
@@ -212,8 +221,11 @@
             Whether it counts as overload.
         """
         class_latency = self.classes[class_name]
-        if not class_latency.may_miss_objective_when_idle and self.recent_good < MIN_SHED_OCCUPANCY:
-            self.lost_response_ratio += (1 - self.lost_response_ratio) / (4 * FEW_SAMPLES)
+        if (
+            not class_latency.may_miss_objective_when_idle
+            and self.recent_response_occupancy < MIN_SHED_OCCUPANCY
+        ):
+            self.lost_response_fraction += (1 - self.lost_response_fraction) / (4 * MIN_RELIABLE_SAMPLES)
             return False
         self.record_overload()
         return True
@@ -236,16 +248,16 @@
         Returns:
             Whether there were any samples.
         """
-        count = self.pending_samples
-        if not count:
+        new_samples = self.pending_samples
+        if not new_samples:
             return False
-        self.sample_count += count
-        weight = count / self.sample_count
-        if self.sample_count > REMEMBERED_SAMPLES:
-            weight = min(MAX_INTERVAL_WEIGHT, count / (REMEMBERED_SAMPLES * admitted_fraction))
-        mean = self._pending_sum / count
+        self.sample_count += new_samples
+        weight = new_samples / self.sample_count
+        if self.sample_count > SMOOTHING_SAMPLES:
+            weight = min(MAX_INTERVAL_WEIGHT, new_samples / (SMOOTHING_SAMPLES * admitted_fraction))
+        mean = self._pending_sum / new_samples
         self.smoothed = min(max((1 - weight) * self.smoothed + weight * mean, 0.0), 1.0)
-        variance = self._pending_variance / count**2
+        variance = self._pending_variance / new_samples**2
         self._noise_variance = (1 - weight) ** 2 * self._noise_variance + weight**2 * variance
         self.pending_samples = 0
         self._pending_sum = self._pending_variance = 0.0
--- a/api_gateway/decisions/quota.py
+++ b/api_gateway/decisions/quota.py
@@ -13,18 +13,18 @@
 from api_gateway.decisions.random_rounding import round_randomly
 from api_gateway.model.settings import Plan
 
-WINDOW_REFILLS = 2.0  # a window lasts so many times burst / rate
+REFILLS_PER_WINDOW = 2.0  # a window lasts so many times burst / rate
 MAX_COUNT_TTL_MS = 60000.0  # longest life of a count at the counter
 MIN_WINDOW_MS = 1.0
 ESTIMATE_HEADROOM = 1.5  # share of an even split while nothing is overloaded: usage is uneven
-PEER_USAGE_MEMORY_MS = 1000.0  # memory of the other gateways' rate of usage
+PEER_USAGE_TIME_CONSTANT_MS = 1000.0  # memory of the other gateways' rate of usage
 ROUNDING_TOLERANCE = 1e-9
-TOTAL_TOLERANCE = 1e-6
+COUNTER_VALUE_TOLERANCE = 1e-6
 
 
 def window_length_ms(plan: Plan) -> float:
     """Return the length of a quota window, in milliseconds; the plan must have a quota."""
-    length_ms = max(WINDOW_REFILLS * 1000.0 * plan.quota_burst / plan.quota_rate, MIN_WINDOW_MS)
+    length_ms = max(REFILLS_PER_WINDOW * 1000.0 * plan.quota_burst / plan.quota_rate, MIN_WINDOW_MS)
     return min(length_ms, MAX_COUNT_TTL_MS / 2)
 
 
@@ -50,7 +50,7 @@
     @property
     def headroom(self) -> float:
         """Factor on an even split of the quota over its gateways."""
-        return ESTIMATE_HEADROOM if self._admission.fraction >= 1 else 1.0
+        return ESTIMATE_HEADROOM if self._admission.admitted_fraction >= 1 else 1.0
 
 
 class TenantQuota:
@@ -60,7 +60,7 @@
         plan: The tenant's plan.
         gateway_count: Gateways that the tenant's requests come through.
         now_ms: The time now.
-        age_ms: How long this gateway has been up. Its usage before a restart is unknown, so it starts with
+        uptime_ms: How long this gateway has been up. Its usage before a restart is unknown, so it starts with
             the refill since then.
         conditions: What the estimates depend on.
 
@@ -68,17 +68,17 @@
         gateway_count: Gateways named in this window or the last.
         window: Number of the window; -1 before the first.
         window_started_at_ms: When it began.
-        is_total_unknown: Whether no total of this window was read.
+        is_counter_value_unknown: Whether no total of this window was read.
         local_usage: Units that this gateway used in the window, and those that it charged to it.
         remaining: Units taken to be left, as of `remaining_at_ms`.
         remaining_upper_bound: Units left if no other gateway uses any.
         peer_usage_rate: Estimate of the other gateways' usage, in units per millisecond.
-        last_total: The last total read; None if none was.
-        last_total_at_ms: When it was read.
+        last_counter_value: The last total read; None if none was.
+        last_counter_value_at_ms: When it was read.
     """
 
     def __init__(
-        self, plan: Plan, gateway_count: int, now_ms: float, age_ms: float, conditions: QuotaConditions
+        self, plan: Plan, gateway_count: int, now_ms: float, uptime_ms: float, conditions: QuotaConditions
     ) -> None:
         self.plan = plan
         self._conditions = conditions
@@ -86,15 +86,15 @@
         self._gateway_count_in_window = gateway_count
         self.window = -1
         self.window_started_at_ms = now_ms
-        self.is_total_unknown = True
+        self.is_counter_value_unknown = True
         self.local_usage = 0.0
-        self.remaining = min(plan.quota_burst, plan.quota_rate * age_ms / 1000) / gateway_count
+        self.remaining = min(plan.quota_burst, plan.quota_rate * uptime_ms / 1000) / gateway_count
         self.remaining_at_ms = now_ms
         self.remaining_upper_bound = plan.quota_burst
         self.peer_usage_rate = plan.quota_rate / 1000 * (1 - 1 / gateway_count)
-        self.last_total: float | None = None
-        self.last_total_at_ms = 0.0
-        self._reported_at_last_total = 0.0
+        self.last_counter_value: float | None = None
+        self.last_counter_value_at_ms = 0.0
+        self._reported_at_last_counter_value = 0.0
 
     def note_gateway_count(self, gateway_count: int) -> None:
         """Note how many gateways a request names; the largest number holds for this window and the next."""
@@ -113,10 +113,10 @@
         self.window = window
         self.window_started_at_ms = started_at_ms
         self.gateway_count, self._gateway_count_in_window = self._gateway_count_in_window, 1
-        self.is_total_unknown = True
-        self._reported_at_last_total = 0.0
-        self.last_total_at_ms = started_at_ms
-        self.last_total = None if self.last_total is None else 0.0
+        self.is_counter_value_unknown = True
+        self._reported_at_last_counter_value = 0.0
+        self.last_counter_value_at_ms = started_at_ms
+        self.last_counter_value = None if self.last_counter_value is None else 0.0
 
     def refill(self, now_ms: float) -> float:
         """Bring the estimate up to date: refill less the other gateways' estimated usage.
@@ -129,21 +129,21 @@
         """
         elapsed_ms = max(now_ms - self.remaining_at_ms, 0.0)
         burst, rate = self.plan.quota_burst, self.plan.quota_rate / 1000
-        split = min(1.0, self._conditions.headroom / self.gateway_count)
+        even_split = min(1.0, self._conditions.headroom / self.gateway_count)
         self.remaining_upper_bound = min(burst, self.remaining_upper_bound + rate * elapsed_ms)
-        if self.last_total is None:
-            gain, capacity = 0.0, burst * split
+        if self.last_counter_value is None:
+            net_refill_rate, capacity = 0.0, burst * even_split
         else:
-            gain, capacity = rate - self.peer_usage_rate, burst
+            net_refill_rate, capacity = rate - self.peer_usage_rate, burst
         if self._is_estimated:
-            gain = max(gain, rate * split)
-        self.remaining = min(capacity, self.remaining + gain * elapsed_ms)
+            net_refill_rate = max(net_refill_rate, rate * even_split)
+        self.remaining = min(capacity, self.remaining + net_refill_rate * elapsed_ms)
         self.remaining_at_ms += elapsed_ms
         return self.remaining
 
     @property
     def _is_estimated(self) -> bool:
-        return self.last_total is None or not self._conditions.is_counter_reliable
+        return self.last_counter_value is None or not self._conditions.is_counter_reliable
 
     def admits(self, units: float, now_ms: float) -> bool:
         """Refill, and return whether a request of so many units is within the quota.
@@ -153,7 +153,7 @@
         The first request of a tenant with no known total is admitted: it costs little, and its counter call
         tells the total.
         """
-        if self.plan.quota_rate <= 0 or (self.last_total is None and self.local_usage == 0):
+        if self.plan.quota_rate <= 0 or (self.last_counter_value is None and self.local_usage == 0):
             return True
         self.refill(now_ms)
         if self._is_estimated:
@@ -162,7 +162,7 @@
 
     def is_uncertain(self, units: float, now_ms: float) -> bool:
         """Refill, and return whether the estimate may not allow so many units while the last total does."""
-        peer_usage = max(self.peer_usage_rate, 0.0) * (now_ms - self.last_total_at_ms)
+        peer_usage = max(self.peer_usage_rate, 0.0) * (now_ms - self.last_counter_value_at_ms)
         uncertainty: float = peer_usage**0.5  # usage by independent requests varies by its square root
         return self.refill(now_ms) - uncertainty < units <= self.remaining_upper_bound
 
@@ -172,52 +172,65 @@
         self.remaining -= units
         self.remaining_upper_bound -= units
 
-    def record_total(self, total: float, reported_usage: float, now_ms: float) -> None:
+    def record_counter_value(self, counter_value: float, reported_usage: float, now_ms: float) -> None:
         """Take in a total: what all gateways used in this window, and the debt carried over to it.
 
         Args:
-            total: The total of this window.
+            counter_value: The total of this window.
             reported_usage: What this gateway has reported in this window.
             now_ms: The time now.
         """
-        peer_usage = total - (self.last_total or 0.0) - (reported_usage - self._reported_at_last_total)
+        peer_usage = (
+            counter_value
+            - (self.last_counter_value or 0.0)
+            - (reported_usage - self._reported_at_last_counter_value)
+        )
         self.refill(now_ms)
         # A counter that has restarted has less than was reported to it: its total is not used.
-        if total >= reported_usage - TOTAL_TOLERANCE and peer_usage >= -TOTAL_TOLERANCE:
-            self._set_remaining(total, peer_usage, reported_usage, now_ms)
+        if (
+            counter_value >= reported_usage - COUNTER_VALUE_TOLERANCE
+            and peer_usage >= -COUNTER_VALUE_TOLERANCE
+        ):
+            self._set_remaining(counter_value, peer_usage, reported_usage, now_ms)
             self._estimate_peer_usage(peer_usage, now_ms)
-            self.is_total_unknown = False
-        self.last_total, self._reported_at_last_total = total, reported_usage
-        self.last_total_at_ms = now_ms
+            self.is_counter_value_unknown = False
+        self.last_counter_value, self._reported_at_last_counter_value = counter_value, reported_usage
+        self.last_counter_value_at_ms = now_ms
 
-    def _set_remaining(self, total: float, peer_usage: float, reported_usage: float, now_ms: float) -> None:
+    def _set_remaining(
+        self, counter_value: float, peer_usage: float, reported_usage: float, now_ms: float
+    ) -> None:
         """Set what is left; usage beyond the quota takes nothing from the bucket for ever."""
         remaining = self.remaining_upper_bound - peer_usage
-        if self.is_total_unknown:
+        if self.is_counter_value_unknown:
             refill = self.plan.quota_rate * (now_ms - self.window_started_at_ms) / 1000
-            remaining = self.plan.quota_burst + refill - total
+            remaining = self.plan.quota_burst + refill - counter_value
             remaining = min(remaining - (self.local_usage - reported_usage), self.remaining_upper_bound)
         self.remaining = self.remaining_upper_bound = max(remaining, 0.0)
 
     def _estimate_peer_usage(self, peer_usage: float, now_ms: float) -> None:
         """Update the estimate of the other gateways' rate of usage."""
-        if self.last_total is None:
+        if self.last_counter_value is None:
             # The first total holds what was used since the window's start.
-            elapsed_ms = max(now_ms - self.window_started_at_ms, PEER_USAGE_MEMORY_MS)
+            elapsed_ms = max(now_ms - self.window_started_at_ms, PEER_USAGE_TIME_CONSTANT_MS)
             self.peer_usage_rate = min(peer_usage / elapsed_ms, self.plan.quota_rate / 1000)
-        elif not self.is_total_unknown:
-            elapsed_ms = max(now_ms - self.last_total_at_ms, 1.0)
-            memory_ms = max(PEER_USAGE_MEMORY_MS, 1000 * self.plan.quota_burst / self.plan.quota_rate)
-            keep = memory_ms / (memory_ms + elapsed_ms)
-            self.peer_usage_rate = keep * self.peer_usage_rate + (1 - keep) * peer_usage / elapsed_ms
-
-    def carry_over_debt(self, previous_total: float, now_ms: float) -> tuple[float, float]:
+        elif not self.is_counter_value_unknown:
+            elapsed_ms = max(now_ms - self.last_counter_value_at_ms, 1.0)
+            time_constant_ms = max(
+                PEER_USAGE_TIME_CONSTANT_MS, 1000 * self.plan.quota_burst / self.plan.quota_rate
+            )
+            decay_factor = time_constant_ms / (time_constant_ms + elapsed_ms)
+            self.peer_usage_rate = (
+                decay_factor * self.peer_usage_rate + (1 - decay_factor) * peer_usage / elapsed_ms
+            )
+
+    def carry_over_debt(self, previous_counter_value: float, now_ms: float) -> tuple[float, float]:
         """Charge to this window what was used beyond the last window's refill.
 
         So any gateway reads from one total what is left of the bucket, whoever used it.
 
         Args:
-            previous_total: The total of the last window.
+            previous_counter_value: The total of the last window.
             now_ms: The time now.
 
         Returns:
@@ -225,7 +238,7 @@
         """
         rate = self.plan.quota_rate / 1000
         refill_of_window = rate * window_length_ms(self.plan)
-        debt = min(max(previous_total - refill_of_window, 0.0), self.plan.quota_burst)
+        debt = min(max(previous_counter_value - refill_of_window, 0.0), self.plan.quota_burst)
         refill = rate * (now_ms - self.window_started_at_ms)
         if debt:
             self.spend(debt)
--- a/api_gateway/decisions/rejections.py
+++ b/api_gateway/decisions/rejections.py
@@ -34,6 +34,6 @@
             reason: Why it is rejected.
             refill_ms: Time in which a quota refills by its units; Retry-After is longer while load is shed.
         """
-        retry_after_ms = max(refill_ms, MIN_RETRY_AFTER_MS / self._admission.fraction)
+        retry_after_ms = max(refill_ms, MIN_RETRY_AFTER_MS / self._admission.admitted_fraction)
         retry_after_ms = min(retry_after_ms, self._max_retry_after_ms)
         self._actions.append(RejectRequest(request_id, retry_after_ms, reason))
--- a/api_gateway/decisions/request_flow.py
+++ b/api_gateway/decisions/request_flow.py
@@ -5,7 +5,7 @@
 from api_gateway.decisions.admission import AdmissionController
 from api_gateway.decisions.attempt_flow import AttemptFlow
 from api_gateway.decisions.endpoints import EndpointTable
-from api_gateway.decisions.latency import SpentTime, TypicalLatency
+from api_gateway.decisions.latency import EarlierRequestTime, TypicalLatency
 from api_gateway.decisions.occupancy import MIN_SHED_OCCUPANCY
 from api_gateway.decisions.outlier_detection import ProbeBudget
 from api_gateway.decisions.pending_requests import PendingRequest, PendingRequests
@@ -80,7 +80,7 @@
         self._probe_budget = probe_budget
         self._traffic = traffic
         self._latency = latency
-        self._spent_time = SpentTime(settings.classes)
+        self._spent_time = EarlierRequestTime(settings.classes)
 
     # Receipt
 
@@ -119,10 +119,10 @@
             deadline_at_ms=deadline_at_ms,
         )
         has_time = objective_at_ms - now_ms > self._min_wait_ms
-        if not has_time or not self._reporter.needs_total(tenant, request.units, now_ms):
+        if not has_time or not self._reporter.needs_counter_value(tenant, request.units, now_ms):
             self._decide(pending, now_ms, is_admitted=False)
         elif self._is_admitted(pending):
-            self._reporter.wait_for_total(pending, now_ms)
+            self._reporter.wait_for_counter_value(pending, now_ms)
         else:
             self._rejections.reject(request.request_id, RejectReason.LOAD_SHED)
 
@@ -132,12 +132,12 @@
         """Return when an answer becomes worthless: at the deadline if late answers have any weight."""
         if request_class.late_priority_weight > 0:
             return deadline_at_ms
-        spent_ms = self._spent_time.spent_before_ms(request, request_class)
+        spent_ms = self._spent_time.spent_ms(request, request_class)
         return min(now_ms + request_class.latency_objective_ms - spent_ms, deadline_at_ms)
 
     def _find_tenant(self, request: RequestReceived, plan: Plan, now_ms: float) -> Tenant | None:
         """Return a request's tenant with its quota window up to date; None if no more can be known."""
-        tenant = self._tenants.find(request, plan, now_ms)
+        tenant = self._tenants.find_or_create(request, plan, now_ms)
         if tenant is None:
             return None
         if plan.quota_rate > 0:
@@ -234,11 +234,11 @@
 
     def decide_overdue(self, now_ms: float) -> None:
         """Decide on the requests that wait for replies that do not come."""
-        for tenant in self._reporter.overdue_tenants(self._reply_timeout_ms, now_ms):
+        for tenant in self._reporter.abandon_overdue_calls(self._reply_timeout_ms, now_ms):
             self._decide_waiting(tenant, now_ms)
 
     def _decide_waiting(self, tenant: Tenant, now_ms: float) -> None:
-        for pending in self._reporter.take_waiting(tenant):
+        for pending in self._reporter.take_waiting_requests(tenant):
             self._decide(pending, now_ms, is_admitted=True)
 
     def disconnect_client(self, event: ClientDisconnected) -> None:
--- a/api_gateway/decisions/retry.py
+++ b/api_gateway/decisions/retry.py
@@ -6,7 +6,7 @@
 
 from api_gateway.decisions.endpoints import EndpointState
 from api_gateway.decisions.latency import TypicalLatency
-from api_gateway.decisions.occupancy import LOST_RESPONSE_LATENCIES, Occupancy
+from api_gateway.decisions.occupancy import LOST_RESPONSE_LATENCY_MULTIPLE, Occupancy
 from api_gateway.decisions.pending_requests import Attempt, PendingRequest
 from api_gateway.model.actions import StartAttempt
 from api_gateway.model.events import AttemptEnded
@@ -127,12 +127,12 @@
         timeout_ms = max(
             pending.objective_at_ms - now_ms - tick_ms, min(MIN_TIMEOUT_MS, pending.deadline_at_ms - now_ms)
         )
-        if self._occupancy.lost_response_ratio <= MAX_LOST_RESPONSE_RATIO or not self._may_be_repeated(
+        if self._occupancy.lost_response_fraction <= MAX_LOST_RESPONSE_RATIO or not self._may_be_repeated(
             pending
         ):
             return timeout_ms
         expected_ms = self._expected_ms(pending)
-        early_ms = max(timeout_ms / 2, LOST_RESPONSE_LATENCIES * expected_ms)
+        early_ms = max(timeout_ms / 2, LOST_RESPONSE_LATENCY_MULTIPLE * expected_ms)
         return early_ms if early_ms + expected_ms < timeout_ms else timeout_ms
 
     def _may_be_repeated(self, pending: PendingRequest) -> bool:
--- a/api_gateway/decisions/slow_start.py
+++ b/api_gateway/decisions/slow_start.py
@@ -16,7 +16,7 @@
 from api_gateway.decisions.random_rounding import round_randomly
 from api_gateway.decisions.ring import stable_hash
 from api_gateway.decisions.subset import EndpointSubset
-from api_gateway.decisions.traffic import RATE_MEMORY_MS, TrafficRates
+from api_gateway.decisions.traffic import RATE_TIME_CONSTANT_MS, TrafficRates
 from api_gateway.decisions.uptime import Uptime
 from api_gateway.model.settings import Settings
 
@@ -77,7 +77,7 @@
         fraction = self.capacity_fraction(endpoint, now_ms)
         if fraction >= 1:
             return True
-        if self._traffic.warm_work_rate <= 0 and self._uptime.age_ms(now_ms) < RATE_MEMORY_MS:
+        if self._traffic.warm_work_rate <= 0 and self._uptime.age_ms(now_ms) < RATE_TIME_CONSTANT_MS:
             return endpoint.in_flight == 0 and self._takes_time_slot(endpoint, fraction, now_ms)
         self._refill(endpoint, fraction, now_ms)
         endpoint.slow_start_budget = round_randomly(endpoint.slow_start_budget, work, self._rng)
--- a/api_gateway/decisions/tenants.py
+++ b/api_gateway/decisions/tenants.py
@@ -8,7 +8,7 @@
 
 from api_gateway.decisions.ceiling import CeilingShare
 from api_gateway.decisions.quota import QuotaConditions, TenantQuota, window_length_ms
-from api_gateway.decisions.traffic import RATE_MEMORY_MS
+from api_gateway.decisions.traffic import RATE_TIME_CONSTANT_MS
 from api_gateway.decisions.uptime import Uptime
 from api_gateway.decisions.usage_report import UsageReport
 from api_gateway.model.events import RequestReceived
@@ -16,7 +16,7 @@
 
 MAX_TENANTS = 8192  # known at once, so that a flood of new names cannot fill the memory
 FORGET_AFTER_WINDOWS = 3.0  # windows without a request after which a tenant is forgotten
-MAX_EXAMINED = 64  # tenants examined at once, the longest unseen first
+MAX_TENANTS_EXAMINED = 64  # tenants examined at once, the longest unseen first
 HASH_BYTES = 8
 
 
@@ -33,7 +33,7 @@
 
     Attributes:
         in_flight: Requests that hold a place of its limit on concurrent requests.
-        seen_at_ms: When its last request came.
+        last_request_at_ms: When its last request came.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         self.ceiling = ceiling
         self.report = report
         self.in_flight = 0
-        self.seen_at_ms = 0.0
+        self.last_request_at_ms = 0.0
         self._window_phase = window_phase
         # Worked out once: the sweep asks for it of many tenants.
         self._window_length_ms = window_length_ms(plan) if plan.quota_rate > 0 else 0.0
@@ -69,14 +69,14 @@
 
     def may_be_forgotten(self, now_ms: float) -> bool:
         """Whether nothing would be lost: its ceiling share, which starts empty, must be full again."""
-        is_unused = not self.in_flight and not self.report.waiting
-        return is_unused and self.ceiling.is_full_after(now_ms - self.seen_at_ms)
+        is_unused = not self.in_flight and not self.report.waiting_requests
+        return is_unused and self.ceiling.is_full_after(now_ms - self.last_request_at_ms)
 
     def is_idle(self, now_ms: float) -> bool:
         """Whether it has sent nothing for so long that it may be forgotten."""
-        memory_ms = self._window_length_ms or RATE_MEMORY_MS
-        is_unseen = now_ms - self.seen_at_ms >= FORGET_AFTER_WINDOWS * memory_ms
-        return is_unseen and self.may_be_forgotten(now_ms)
+        idle_period_ms = self._window_length_ms or RATE_TIME_CONSTANT_MS
+        has_no_recent_request = now_ms - self.last_request_at_ms >= FORGET_AFTER_WINDOWS * idle_period_ms
+        return has_no_recent_request and self.may_be_forgotten(now_ms)
 
 
 class TenantTable:
@@ -101,7 +101,7 @@
         self._conditions = conditions
         self._on_forget = on_forget
         self._tenants: dict[tuple[str, str], Tenant] = {}
-        self._counter_tags = counter_tags(settings.plans)
+        self._count_name_tags = count_name_tags(settings.plans)
 
     def __len__(self) -> int:
         """Return the number of tenants."""
@@ -127,7 +127,7 @@
         """Return how many gateways a request may come through, within the size of the fleet."""
         return max(1, min(request.gateway_count, self._fleet_size))
 
-    def find(self, request: RequestReceived, plan: Plan, now_ms: float) -> Tenant | None:
+    def find_or_create(self, request: RequestReceived, plan: Plan, now_ms: float) -> Tenant | None:
         """Return the tenant of a request, known or new; None if no more can be known."""
         key = (request.tenant, plan.name)
         tenant = self._tenants.pop(key, None)
@@ -136,16 +136,16 @@
                 return None
             tenant = self._create(key, plan, self.gateway_count(request), now_ms)
         self._tenants[key] = tenant
-        tenant.seen_at_ms = now_ms
+        tenant.last_request_at_ms = now_ms
         return tenant
 
     def _create(self, key: tuple[str, str], plan: Plan, gateway_count: int, now_ms: float) -> Tenant:
-        hashed = hashlib.blake2s(key[0].encode(), digest_size=HASH_BYTES)
+        name_hash = hashlib.blake2s(key[0].encode(), digest_size=HASH_BYTES)
         quota = TenantQuota(
             plan=plan,
             gateway_count=gateway_count,
             now_ms=now_ms,
-            age_ms=self._uptime.age_ms(now_ms),
+            uptime_ms=self._uptime.age_ms(now_ms),
             conditions=self._conditions,
         )
         return Tenant(
@@ -153,14 +153,14 @@
             plan=plan,
             quota=quota,
             ceiling=CeilingShare(plan, self._uptime.started_at_ms or 0.0),
-            report=UsageReport(quota, hashed.hexdigest() + self._counter_tags[plan.name]),
+            report=UsageReport(quota, name_hash.hexdigest() + self._count_name_tags[plan.name]),
             # Windows begin at a phase of the tenant's own, so that their calls do not all come at once.
-            window_phase=int.from_bytes(hashed.digest()[:2], "big") / 65536,
+            window_phase=int.from_bytes(name_hash.digest()[:2], "big") / 65536,
         )
 
     def _forget_one(self, now_ms: float) -> bool:
         """Forget the longest unseen tenant that may be forgotten; whether there was one."""
-        examined = islice(self._tenants.values(), MAX_EXAMINED)
+        examined = islice(self._tenants.values(), MAX_TENANTS_EXAMINED)
         tenant = next((tenant for tenant in examined if tenant.may_be_forgotten(now_ms)), None)
         if tenant is not None:
             self._forget(tenant)
@@ -168,7 +168,7 @@
 
     def forget_idle(self, now_ms: float) -> None:
         """Forget tenants that have sent nothing for long."""
-        for tenant in list(islice(self._tenants.values(), MAX_EXAMINED)):
+        for tenant in list(islice(self._tenants.values(), MAX_TENANTS_EXAMINED)):
             if tenant.is_idle(now_ms):
                 self._forget(tenant)
 
@@ -177,7 +177,7 @@
         self._on_forget(tenant)
 
 
-def counter_tags(plans: Iterable[Plan]) -> dict[str, str]:
+def count_name_tags(plans: Iterable[Plan]) -> dict[str, str]:
     """Return what tells the counts of a tenant's plans apart, by plan.
 
     Names of counts never change: gateways of two versions must count together during a rollout.
--- a/api_gateway/decisions/traffic.py
+++ b/api_gateway/decisions/traffic.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from api_gateway.decisions.occupancy import FEW_SAMPLES
+from api_gateway.decisions.occupancy import MIN_RELIABLE_SAMPLES
 
-RATE_MEMORY_MS = 1000.0  # memory of the rates of completions and of work on warm endpoints
-ATTEMPT_RATE_MEMORY_MS = 5000.0  # memory of the rates that the size of the subset follows
+RATE_TIME_CONSTANT_MS = 1000.0  # memory of the rates of completions and of work on warm endpoints
+ATTEMPT_RATE_TIME_CONSTANT_MS = 5000.0  # memory of the rates that the size of the subset follows
 MIN_RATE = 1e-9
 
 
@@ -45,38 +45,44 @@
         """Note work sent to a warm endpoint."""
         self._warm_work += work
 
-    def sweep_completions(self, elapsed_ms: float, age_ms: float) -> float:
+    def sweep_completions(self, elapsed_ms: float, uptime_ms: float) -> float:
         """Take in the completions since the last sweep.
 
         The memory holds some completions at least: a rate of two a second means nothing over one second.
 
         Args:
             elapsed_ms: Time since the last sweep.
-            age_ms: Time since the start.
+            uptime_ms: Time since the start.
 
         Returns:
             Weight of what is remembered in the rates, 0 to 1.
         """
-        memory_ms = max(RATE_MEMORY_MS, 3 * FEW_SAMPLES / max(self.completion_rate, MIN_RATE))
-        memory_ms = min(memory_ms, age_ms)
-        keep = memory_ms / (memory_ms + elapsed_ms)
-        self.completion_rate = keep * self.completion_rate + (1 - keep) * self._completions / elapsed_ms
+        time_constant_ms = max(
+            RATE_TIME_CONSTANT_MS, 3 * MIN_RELIABLE_SAMPLES / max(self.completion_rate, MIN_RATE)
+        )
+        time_constant_ms = min(time_constant_ms, uptime_ms)
+        decay_factor = time_constant_ms / (time_constant_ms + elapsed_ms)
+        self.completion_rate = (
+            decay_factor * self.completion_rate + (1 - decay_factor) * self._completions / elapsed_ms
+        )
         self._completions = 0.0
-        return keep
+        return decay_factor
 
-    def sweep_warm_work(self, elapsed_ms: float, keep: float, warm_endpoints: int) -> None:
+    def sweep_warm_work(self, elapsed_ms: float, decay_factor: float, warm_endpoints: int) -> None:
         """Take in the work sent to warm endpoints since the last sweep; with none the rate stays."""
         if warm_endpoints:
-            latest = (1 - keep) * self._warm_work / elapsed_ms / warm_endpoints
-            self.warm_work_rate = keep * self.warm_work_rate + latest
+            latest = (1 - decay_factor) * self._warm_work / elapsed_ms / warm_endpoints
+            self.warm_work_rate = decay_factor * self.warm_work_rate + latest
         self._warm_work = 0.0
 
-    def sweep_attempts(self, elapsed_ms: float, age_ms: float) -> None:
+    def sweep_attempts(self, elapsed_ms: float, uptime_ms: float) -> None:
         """Take in the attempts and the admitted work since the last sweep."""
-        memory_ms = min(ATTEMPT_RATE_MEMORY_MS, age_ms)
-        keep = memory_ms / (memory_ms + elapsed_ms)
-        self.attempt_rate = keep * self.attempt_rate + (1 - keep) * self._attempts / elapsed_ms
+        time_constant_ms = min(ATTEMPT_RATE_TIME_CONSTANT_MS, uptime_ms)
+        decay_factor = time_constant_ms / (time_constant_ms + elapsed_ms)
+        self.attempt_rate = (
+            decay_factor * self.attempt_rate + (1 - decay_factor) * self._attempts / elapsed_ms
+        )
         self.admitted_work_rate = (
-            keep * self.admitted_work_rate + (1 - keep) * self._admitted_work / elapsed_ms
+            decay_factor * self.admitted_work_rate + (1 - decay_factor) * self._admitted_work / elapsed_ms
         )
         self._attempts, self._admitted_work = 0, 0.0
--- a/api_gateway/decisions/usage_report.py
+++ b/api_gateway/decisions/usage_report.py
@@ -20,10 +20,10 @@
         reported_usage: Units reported in this window.
         expired_refill: Refill that found the bucket full, to be reported next.
         is_call_in_flight: Whether a call is in flight.
-        called_at_ms: When the last call was made.
+        last_call_at_ms: When the last call was made.
         amount_in_call: What it adds.
-        waiting: Requests that wait for a total.
-        query_success_ratio: Part of the queries of a total that found units left.
+        waiting_requests: Requests that wait for a total.
+        query_success_fraction: Part of the queries of a total that found units left.
     """
 
     def __init__(self, quota: TenantQuota, count_prefix: str) -> None:
@@ -35,10 +35,10 @@
         self.expired_refill = 0.0
         self._expired_refill_in_call = 0.0
         self.is_call_in_flight = False
-        self.called_at_ms = 0.0
+        self.last_call_at_ms = 0.0
         self.amount_in_call = 0.0
-        self.waiting: list[PendingRequest] = []
-        self.query_success_ratio = 1.0
+        self.waiting_requests: list[PendingRequest] = []
+        self.query_success_fraction = 1.0
 
     @property
     def unreported_usage(self) -> float:
@@ -56,10 +56,10 @@
     def start_call(self, amount: float, now_ms: float) -> None:
         """Note a call that adds an amount."""
         self.is_call_in_flight = True
-        self.called_at_ms = now_ms
+        self.last_call_at_ms = now_ms
         self.amount_in_call = amount
 
-    def take_amount(self, usage: float) -> float:
+    def take_report_amount(self, usage: float) -> float:
         """Mark usage as reported, together with the expired refill; return the amount to add."""
         amount = usage + self.expired_refill
         self._quota.local_usage += self.expired_refill
@@ -72,14 +72,16 @@
         self.reported_usage -= self.amount_in_call
         self._quota.local_usage -= self._expired_refill_in_call
 
-    def take_waiting(self) -> list[PendingRequest]:
+    def take_waiting_requests(self) -> list[PendingRequest]:
         """Return the requests that wait for a total, and note whether the query found units left.
 
         All gateways would query again and again for a tenant that sends far more than its quota.
         """
-        waiting, self.waiting = self.waiting, []
-        if waiting:
-            found = self._quota.remaining >= waiting[0].units
-            ratio = self.query_success_ratio + REPLY_WEIGHT * (found - self.query_success_ratio)
-            self.query_success_ratio = max(ratio, 1 / self._quota.gateway_count)
-        return waiting
+        waiting_requests, self.waiting_requests = self.waiting_requests, []
+        if waiting_requests:
+            has_remaining_units = self._quota.remaining >= waiting_requests[0].units
+            success_fraction = self.query_success_fraction + REPLY_WEIGHT * (
+                has_remaining_units - self.query_success_fraction
+            )
+            self.query_success_fraction = max(success_fraction, 1 / self._quota.gateway_count)
+        return waiting_requests
--- a/tests/support/fleet_simulation.py
+++ b/tests/support/fleet_simulation.py
@@ -151,8 +151,10 @@
     def _start_attempt(self, gateway_index: int, action: StartAttempt) -> None:
         self.sent_at_ms[action.endpoint].append(self.now_ms)
         latency_ms = MEAN_LATENCY_MS * self.rng.uniform(0.5, 1.5)
-        outcome = AttemptEnded(action.request_id, 0, action.endpoint, AttemptResult.OK, latency_ms, True)
-        self._schedule(latency_ms, gateway_index, outcome)
+        attempt_ended = AttemptEnded(
+            action.request_id, 0, action.endpoint, AttemptResult.OK, latency_ms, True
+        )
+        self._schedule(latency_ms, gateway_index, attempt_ended)
 
     def _was_overloaded(self, name: str) -> bool:
         started_at_ms = self.endpoints[name].started_at_ms
--- a/tests/support/quota_simulation.py
+++ b/tests/support/quota_simulation.py
@@ -30,23 +30,23 @@
 class SimulatedCounter:
     """The shared counter, which rejects some of its calls."""
 
-    def __init__(self, rng: random.Random, rejected_share: float) -> None:
+    def __init__(self, rng: random.Random, rejected_fraction: float) -> None:
         """Initialize the counter without any total.
 
         Args:
             rng: Decides which calls are rejected.
-            rejected_share: Part of the calls to reject, from 0 to 1.
+            rejected_fraction: Part of the calls to reject, from 0 to 1.
         """
-        self._rng, self._rejected_share = rng, rejected_share
-        self._totals: dict[str, float] = {}
+        self._rng, self._rejected_fraction = rng, rejected_fraction
+        self._counts: dict[str, float] = {}
 
     def increment(self, action: IncrementCounter) -> CounterReply:
         """Add to a total, unless the call is rejected, and return the reply."""
-        if self._rng.random() < self._rejected_share:
+        if self._rng.random() < self._rejected_fraction:
             return CounterReply(action.name, CounterResult.OVERLOADED, 0, COUNTER_LATENCY_MS)
-        total = self._totals.get(action.name, 0.0) + action.amount
-        self._totals[action.name] = total
-        return CounterReply(action.name, CounterResult.OK, total, COUNTER_LATENCY_MS)
+        counter_value = self._counts.get(action.name, 0.0) + action.amount
+        self._counts[action.name] = counter_value
+        return CounterReply(action.name, CounterResult.OK, counter_value, COUNTER_LATENCY_MS)
 
 
 @dataclasses.dataclass
@@ -124,7 +124,7 @@
             max_request_units=max(REQUEST_UNITS),
         )
         self._gateways = [Gateway(common_settings, 1000 * seed + index) for index in range(fleet_size)]
-        self._counter = SimulatedCounter(self.rng, rejected_share=0.0)
+        self._counter = SimulatedCounter(self.rng, rejected_fraction=0.0)
         self._buckets = [TokenBucket(plan.quota_burst) for _ in load_factors]
         self._refilled_at_ms = [self.now_ms] * len(load_factors)  # by tenant
         self._first_gateway = [self.rng.randrange(fleet_size) for _ in load_factors]  # by tenant
@@ -207,8 +207,10 @@
     def _start_attempt(self, gateway_index: int, action: StartAttempt) -> None:
         tenant, units = self._pending.pop(action.request_id)
         self._refilled_bucket(tenant).take(units)
-        outcome = AttemptEnded(action.request_id, 0, action.endpoint, AttemptResult.OK, LATENCY_MS, True)
-        self._schedule(LATENCY_MS, gateway_index, outcome)
+        attempt_ended = AttemptEnded(
+            action.request_id, 0, action.endpoint, AttemptResult.OK, LATENCY_MS, True
+        )
+        self._schedule(LATENCY_MS, gateway_index, attempt_ended)
 
     def _count_rejection(self, action: RejectRequest) -> None:
         tenant, units = self._pending.pop(action.request_id)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -24,23 +24,23 @@
 
 
 def fraction_under_steady_load(
-    driver: GatewayDriver, duration_ms: list[float], in_flight: int, rounds: int = 120
+    driver: GatewayDriver, durations_ms: list[float], in_flight: int, rounds: int = 120
 ) -> float:
-    """Return the fraction after `in_flight` requests at a time, each answered after `duration_ms` of 1 s."""
-    waiting = [driver.ask()[0] for _ in range(in_flight)]
+    """Return the fraction after `in_flight` requests at a time, each answered after `durations_ms` of 1 s."""
+    in_flight_ids = [driver.ask()[0] for _ in range(in_flight)]
     for n in range(rounds):
         driver.sweep(1)
-        driver.end(waiting.pop(0), duration_ms=duration_ms[n % len(duration_ms)])
-        waiting.append(driver.ask()[0])
-        if not any(isinstance(a, StartAttempt) and a.request_id == waiting[-1] for _, a in driver.log):
-            waiting.pop()
+        driver.end(in_flight_ids.pop(0), duration_ms=durations_ms[n % len(durations_ms)])
+        in_flight_ids.append(driver.ask()[0])
+        if not any(isinstance(a, StartAttempt) and a.request_id == in_flight_ids[-1] for _, a in driver.log):
+            in_flight_ids.pop()
             request_id = next(
                 r
                 for r, actions in iter(lambda: driver.ask(), None)
                 if any(isinstance(a, StartAttempt) for a in actions)
             )
-            waiting.append(request_id)
-    return driver.gateway.admission.fraction
+            in_flight_ids.append(request_id)
+    return driver.gateway.admission.admitted_fraction
 
 
 def driver_with_learned_baseline(endpoints: int) -> GatewayDriver:
@@ -51,11 +51,11 @@
 
 
 def test_admitted_fraction_falls_from_1_to_its_minimum() -> None:
-    lo, hi = occupancy.MIN_SHED_OCCUPANCY, admission.MAX_SHED_OCCUPANCY
+    min_shed, max_shed = occupancy.MIN_SHED_OCCUPANCY, admission.MAX_SHED_OCCUPANCY
     assert admitted_fraction(0.0) == 1.0
-    assert admitted_fraction(lo) == 1.0
-    assert admitted_fraction((lo + hi) / 2) == pytest.approx(0.5)
-    assert admitted_fraction(hi) == admission.MIN_ADMITTED_FRACTION
+    assert admitted_fraction(min_shed) == 1.0
+    assert admitted_fraction((min_shed + max_shed) / 2) == pytest.approx(0.5)
+    assert admitted_fraction(max_shed) == admission.MIN_ADMITTED_FRACTION
     assert admitted_fraction(1.0) == admission.MIN_ADMITTED_FRACTION
 
 
@@ -63,12 +63,12 @@
     driver = GatewayDriver()
     driver.ask()
     share = driver.gateway.admission.shares[("read", "open")]
-    share.fraction, share.accumulator = 0.4, 0.0
+    share.admitted_fraction, share.accumulator = 0.4, 0.0
     sent = [bool(actions_of_type(driver.ask()[1], StartAttempt)) for _ in range(10)]
     assert sent == [False, False, True, False, True] * 2
 
 
-def test_overload_sheds_the_least_weight_for_its_work_first() -> None:
+def test_overload_sheds_the_least_weight_per_work_first() -> None:
     driver = GatewayDriver()
     for _ in range(5):
         driver.ask("read")
@@ -78,19 +78,21 @@
     ) / 2
     driver.sweep()
     shares = driver.gateway.admission.shares
-    assert shares["put", "open"].fraction > 0.9 > shares["read", "open"].fraction
+    assert shares["put", "open"].admitted_fraction > 0.9 > shares["read", "open"].admitted_fraction
 
 
 def test_ramp_lies_higher_where_a_gateway_sees_little_of_the_load() -> None:
     assert ramp_offset(0.0) == MAX_RAMP_OFFSET and ramp_offset(5.0) < 0.02 < ramp_offset(0.5)
-    q = (MIN_SHED_OCCUPANCY + MAX_SHED_OCCUPANCY) / 2
-    assert admitted_fraction(q) == 0.5 and admitted_fraction(q, MAX_RAMP_OFFSET) == 1.0
+    mid_occupancy = (MIN_SHED_OCCUPANCY + MAX_SHED_OCCUPANCY) / 2
+    assert (
+        admitted_fraction(mid_occupancy) == 0.5 and admitted_fraction(mid_occupancy, MAX_RAMP_OFFSET) == 1.0
+    )
     assert admitted_fraction(1.0, MAX_RAMP_OFFSET) == MIN_ADMITTED_FRACTION, (
         "a full back end is shed for whatever the offset"
     )
 
 
-def test_chance_queues_on_many_endpoints_shed_nothing_but_overload_does() -> None:
+def test_random_queues_on_many_endpoints_shed_nothing_but_overload_does() -> None:
     assert fraction_under_steady_load(driver_with_learned_baseline(60), [420.0], 2) > 0.95
     assert fraction_under_steady_load(GatewayDriver(endpoints=60), [420.0], 2) > 0.95, "from the start"
     assert fraction_under_steady_load(driver_with_learned_baseline(2), [420.0], 2) < 0.9, (
@@ -100,13 +102,13 @@
     assert fraction_under_steady_load(GatewayDriver(endpoints=60), [900.0], 2) < 0.6, "from the start"
 
 
-def test_one_slow_answer_among_fast_ones_sheds_nothing() -> None:
+def test_one_slow_response_among_fast_ones_sheds_nothing() -> None:
     driver = GatewayDriver(endpoints=3)
-    fs = []
+    fractions = []
     for n in range(80):
         request_id = driver.ask(after=100)[0]
         driver.end(request_id, duration_ms=900 if n % 20 == 19 else 60)
         driver.sweep(1, every=1)
         if n > 30:
-            fs.append(driver.gateway.admission.fraction)
-    assert min(fs) > 0.9
+            fractions.append(driver.gateway.admission.admitted_fraction)
+    assert min(fractions) > 0.9
--- a/tests/test_ceiling.py
+++ b/tests/test_ceiling.py
@@ -21,65 +21,67 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_ceiling_is_never_passed_by_all_gateways_together(seed: int) -> None:
+def test_all_gateways_together_never_exceed_the_ceiling(seed: int) -> None:
     """Any order of late, lost and wrong totals, with restarts: the bucket never falls below 0."""
     rng = random.Random(seed)
     plan = settings().plans[1]
-    now, store, last, sends = 5e5, plan.ceiling_burst, 5e5, 0
+    now_ms, tokens, taken_at_ms, sent = 5e5, plan.ceiling_burst, 5e5, 0
     units: dict[str, int] = {}
-    fleet = [GatewayDriver(now=now, seed=i, gateway_index=i) for i in range(3)]
+    fleet = [GatewayDriver(now=now_ms, seed=i, gateway_index=i) for i in range(3)]
 
-    def note(driver: GatewayDriver, out: list[Action]) -> None:
-        nonlocal store, last, sends
-        for action in actions_of_type(out, StartAttempt):
-            store = min(plan.ceiling_burst, store + (now - last) * plan.ceiling_rate / 1000)
-            last = now
-            store -= units[action.request_id]
-            sends += 1
-            assert store >= -1e-6
-            note(
+    def carry_out(driver: GatewayDriver, actions: list[Action]) -> None:
+        nonlocal tokens, taken_at_ms, sent
+        for action in actions_of_type(actions, StartAttempt):
+            tokens = min(plan.ceiling_burst, tokens + (now_ms - taken_at_ms) * plan.ceiling_rate / 1000)
+            taken_at_ms = now_ms
+            tokens -= units[action.request_id]
+            sent += 1
+            assert tokens >= -1e-6
+            carry_out(
                 driver,
                 driver.give(AttemptEnded(action.request_id, 0, action.endpoint, AttemptResult.OK, 50, True)),
             )
-        for action in actions_of_type(out, IncrementCounter):
+        for action in actions_of_type(actions, IncrementCounter):
             result = rng.choice([CounterResult.OK, CounterResult.TIMED_OUT, CounterResult.OVERLOADED])
-            note(
+            carry_out(
                 driver, driver.give(CounterReply(action.name, result, rng.choice([action.amount, 0.0, 50.0])))
             )
 
     for step in range(3000):
-        now += rng.expovariate(1 / 10)
+        now_ms += rng.expovariate(1 / 10)
         if rng.random() < 0.002:
             i = rng.randrange(3)
-            fleet[i] = GatewayDriver(now=now, seed=step, gateway_index=i)
+            fleet[i] = GatewayDriver(now=now_ms, seed=step, gateway_index=i)
         driver = fleet[rng.choice([0, 0, 1, 2]) if step % 1000 < 700 else 2]
-        driver.now, driver.serial = now, step
+        driver.now, driver.serial = now_ms, step
         units[f"r{step + 1}"] = size = rng.choice([1, 1, 2])
-        note(driver, driver.ask(plan="capped", units=size)[1])
-        note(driver, driver.give(TimerFired("sweep")))
-    assert sends > 100
+        carry_out(driver, driver.ask(plan="capped", units=size)[1])
+        carry_out(driver, driver.give(TimerFired("sweep")))
+    assert sent > 100
 
 
 def test_ceiling_holds_for_ten_gateways_of_a_large_fleet_with_restarts() -> None:
     rng = random.Random(4)
     plan = settings().plans[1]
-    now, store, last, sends = 5e5, plan.ceiling_burst, 5e5, 0
-    fleet = [GatewayDriver(now=now, seed=i, gateway_index=i, fleet_size=300, endpoints=2) for i in range(10)]
+    now_ms, tokens, taken_at_ms, sent = 5e5, plan.ceiling_burst, 5e5, 0
+    fleet = [
+        GatewayDriver(now=now_ms, seed=i, gateway_index=i, fleet_size=300, endpoints=2) for i in range(10)
+    ]
     for step in range(4000):
-        now += rng.expovariate(1 / 5)
+        now_ms += rng.expovariate(1 / 5)
         i = rng.randrange(10)
         if rng.random() < 0.01:
-            fleet[i] = GatewayDriver(now=now, seed=step, gateway_index=i, fleet_size=300, endpoints=2)
+            fleet[i] = GatewayDriver(now=now_ms, seed=step, gateway_index=i, fleet_size=300, endpoints=2)
         driver = fleet[i]
-        driver.now, driver.serial = now, step
-        request_id, out = driver.ask(plan="capped", gateway_count=10)
-        for action in actions_of_type(out, IncrementCounter):
+        driver.now, driver.serial = now_ms, step
+        request_id, actions = driver.ask(plan="capped", gateway_count=10)
+        for action in actions_of_type(actions, IncrementCounter):
             result = rng.choice([CounterResult.OK, CounterResult.TIMED_OUT])
-            out = out + driver.give(CounterReply(action.name, result, rng.choice([0.0, 90.0])))
-        for _ in actions_of_type(out, StartAttempt):
-            store = min(plan.ceiling_burst, store + (now - last) * plan.ceiling_rate / 1000) - 1
-            last, sends = now, sends + 1
-            assert store >= -1e-6
+            actions = actions + driver.give(CounterReply(action.name, result, rng.choice([0.0, 90.0])))
+        for _ in actions_of_type(actions, StartAttempt):
+            tokens = min(plan.ceiling_burst, tokens + (now_ms - taken_at_ms) * plan.ceiling_rate / 1000) - 1
+            taken_at_ms, sent = now_ms, sent + 1
+            assert tokens >= -1e-6
         if request_id in driver.gateway.pending:
             driver.end(request_id)
-    assert sends > 50
+    assert sent > 50
--- a/tests/test_counter_health.py
+++ b/tests/test_counter_health.py
@@ -17,40 +17,40 @@
 from api_gateway.model.results import CounterResult
 
 
-def test_calls_thin_out_while_they_go_unanswered_and_come_back() -> None:
+def test_calls_decrease_without_responses_and_recover() -> None:
     driver = GatewayDriver()
     driver.gateway.rng.seed(5)
 
-    def calls(result: CounterResult, n: int = 60) -> int:
-        made = 0
-        for _ in range(n):
-            request_id, out = driver.ask(plan="basic", tenant=f"k{driver.serial}", after=20)
-            for action in actions_of_type(out, IncrementCounter):
-                made += 1
-                out = out + driver.give(CounterReply(action.name, result, action.amount))
+    def count_calls(result: CounterResult, request_count: int = 60) -> int:
+        call_count = 0
+        for _ in range(request_count):
+            request_id, actions = driver.ask(plan="basic", tenant=f"k{driver.serial}", after=20)
+            for action in actions_of_type(actions, IncrementCounter):
+                call_count += 1
+                actions = actions + driver.give(CounterReply(action.name, result, action.amount))
             if request_id in driver.gateway.pending:
                 driver.end(request_id)
-        return made
+        return call_count
 
-    assert calls(CounterResult.OK) == 60
+    assert count_calls(CounterResult.OK) == 60
     assert (
-        calls(CounterResult.CONNECTION_LOST, counter_health.MAX_LOST_CONNECTIONS)
-        == counter_health.MAX_LOST_CONNECTIONS
+        count_calls(CounterResult.CONNECTION_LOST, counter_health.MAX_CONSECUTIVE_LOST_CONNECTIONS)
+        == counter_health.MAX_CONSECUTIVE_LOST_CONNECTIONS
     )  # one connection's end
-    assert driver.gateway.counter_health.answered_ratio == 1.0
-    assert calls(CounterResult.CONNECTION_LOST) < 15  # nothing else comes: it is gone
-    calls(CounterResult.OK, 300)
-    assert calls(CounterResult.OVERLOADED) < 15
-    calls(CounterResult.OK, 300)
-    assert calls(CounterResult.OK) > 50
+    assert driver.gateway.counter_health.response_fraction == 1.0
+    assert count_calls(CounterResult.CONNECTION_LOST) < 15  # nothing else comes: it is gone
+    count_calls(CounterResult.OK, 300)
+    assert count_calls(CounterResult.OVERLOADED) < 15
+    count_calls(CounterResult.OK, 300)
+    assert count_calls(CounterResult.OK) > 50
 
 
-def test_a_malformed_total_is_an_answer_and_its_amount_counts() -> None:
+def test_a_malformed_response_counts_as_a_response_and_its_amount_as_added() -> None:
     driver = GatewayDriver()
-    _rid, out = driver.ask(plan="basic", tenant="k", units=2)
-    (call,) = actions_of_type(out, IncrementCounter)
-    out = driver.give(CounterReply(call.name, CounterResult.MALFORMED_RESPONSE, 0.0))
-    assert actions_of_type(out, StartAttempt)  # decided at once
+    _, actions = driver.ask(plan="basic", tenant="k", units=2)
+    (call,) = actions_of_type(actions, IncrementCounter)
+    actions = driver.give(CounterReply(call.name, CounterResult.MALFORMED_RESPONSE, 0.0))
+    assert actions_of_type(actions, StartAttempt)  # decided at once
     tenant = driver.gateway.tenants["k", "basic"]
-    assert driver.gateway.counter_health.answered_ratio == 1.0
+    assert driver.gateway.counter_health.response_fraction == 1.0
     assert tenant.report.reported_usage == 2 and not tenant.report.is_call_in_flight
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -23,7 +23,7 @@
 
 
 def single_class_load(
-    service_share: float,
+    service_time_ratio: float,
     requests_per_s: float,
     distribution: Distribution = Distribution.LOGNORMAL,
     time_scale: float = 1.0,
@@ -31,7 +31,7 @@
     """Create the load of one class.
 
     Args:
-        service_share: Mean service time over the latency objective.
+        service_time_ratio: Mean service time over the latency objective.
         requests_per_s: Requests a second to each gateway.
         distribution: Distribution of the service time.
         time_scale: Multiple of the objective of 1 s and the deadline of 4 s.
@@ -39,10 +39,10 @@
     request_class = RequestClass(
         "read", latency_objective_ms=1000 * time_scale, deadline_ms=4000 * time_scale, priority_weight=3
     )
-    return Load(request_class, 1000 * time_scale * service_share, requests_per_s, distribution)
+    return Load(request_class, 1000 * time_scale * service_time_ratio, requests_per_s, distribution)
 
 
-def rejected_share_without_queueing(load: Load, seconds: float = 30.0) -> float:
+def rejected_fraction_without_queueing(load: Load, seconds: float = 30.0) -> float:
     """Return the rejected share at a gateway before 60 endpoints where no request ever queues."""
     name = load.request_class.name
     counts = [EndpointSimulation([load], seed=seed).run(seconds).counts[name] for seed in SEEDS]
@@ -50,17 +50,17 @@
 
 
 @pytest.mark.parametrize("requests_per_s", [5, 20, 80])
-@pytest.mark.parametrize("service_share", [0.05, 0.2, 0.3, 0.4, 0.5])
+@pytest.mark.parametrize("service_time_ratio", [0.05, 0.2, 0.3, 0.4, 0.5])
 def test_idle_endpoints_cause_no_rejections_at_any_service_time(
-    service_share: float, requests_per_s: float
+    service_time_ratio: float, requests_per_s: float
 ) -> None:
-    assert rejected_share_without_queueing(single_class_load(service_share, requests_per_s)) < 0.02
+    assert rejected_fraction_without_queueing(single_class_load(service_time_ratio, requests_per_s)) < 0.02
 
 
-@pytest.mark.parametrize("service_share", [0.3, 0.5])
-def test_idle_endpoints_cause_few_rejections_at_exponential_service_times(service_share: float) -> None:
-    load = single_class_load(service_share, 20, Distribution.EXPONENTIAL)
-    assert rejected_share_without_queueing(load) < 0.04
+@pytest.mark.parametrize("service_time_ratio", [0.3, 0.5])
+def test_idle_endpoints_cause_few_rejections_at_exponential_service_times(service_time_ratio: float) -> None:
+    load = single_class_load(service_time_ratio, 20, Distribution.EXPONENTIAL)
+    assert rejected_fraction_without_queueing(load) < 0.04
 
 
 @pytest.mark.parametrize("time_scale", [0.1, 1.0, 10.0])
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_overload_rejects_by_weight_per_service_time_and_serves_a_part_of_each_class(seed: int) -> None:
+def test_overload_rejects_by_weight_per_service_time_and_serves_some_of_each_class(seed: int) -> None:
     loads = [Load(SHORT_OBJECTIVE, 45, 20), Load(LONG_OBJECTIVE, 100, 20)]  # 0.97 of the cores' capacity
     simulation = EndpointSimulation(loads, seed=seed, **QUEUEING_ENDPOINTS).run(5, load_factor=0.4)
     simulation.reset_counts()
@@ -104,9 +104,9 @@
     assert counts["short"].served_share > 0.25
 
 
-@pytest.mark.parametrize("service_share", [0.05, 0.1, 0.2, 0.3, 0.5])
-def test_overload_is_detected_at_any_service_time(service_share: float) -> None:
-    load = single_class_load(service_share, 3 / service_share)  # the full capacity of the cores
+@pytest.mark.parametrize("service_time_ratio", [0.05, 0.1, 0.2, 0.3, 0.5])
+def test_overload_is_detected_at_any_service_time(service_time_ratio: float) -> None:
+    load = single_class_load(service_time_ratio, 3 / service_time_ratio)  # the full capacity of the cores
     simulation = EndpointSimulation([load], seed=1, **QUEUEING_ENDPOINTS)
     simulation.run(5, load_factor=0.4).run(13, load_factor=2)
     assert simulation.offered_utilization(8000) < 1.2, "from 3 s after the start of the overload"
--- a/tests/test_fleet_quota.py
+++ b/tests/test_fleet_quota.py
@@ -18,11 +18,11 @@
 
 FLEET_SIZE = 200
 PLAN = Plan("team", quota_rate=5, quota_burst=20, over_quota_cost=1.0)
-REJECTED_COUNTER_CALLS = 0.15  # part of the calls
+REJECTED_CALL_FRACTION = 0.15  # part of the calls
 LOAD_FACTORS = (0.2, 0.3, 0.3, 0.4, 0.5, 0.5, 0.9, 4.0)  # requested units of each tenant over its quota
 SWEEP_INTERVAL_MS = 100.0
 START_MS = 1e6
-SECONDS = 30
+DURATION_S = 30
 
 
 class Arrival(NamedTuple):
@@ -40,7 +40,7 @@
 
     def __init__(self, seed: int) -> None:
         self._rng = random.Random(seed)
-        self._counter = SimulatedCounter(self._rng, REJECTED_COUNTER_CALLS)
+        self._counter = SimulatedCounter(self._rng, REJECTED_CALL_FRACTION)
         self._pending: dict[str, tuple[int, float]] = {}  # by request id: tenant and units
         self.buckets = [TokenBucket(PLAN.quota_burst) for _ in LOAD_FACTORS]
         fleet_settings = settings(plans=(PLAN,), fleet_size=FLEET_SIZE, counter_timeout_ms=240.0)
@@ -94,15 +94,15 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_fleet_forwards_little_over_quota_and_most_of_what_is_within(seed: int) -> None:
+def test_a_fleet_forwards_little_over_quota_and_most_within_quota(seed: int) -> None:
     """The cost of the units over quota is less than 0.1 of the value of those within."""
     simulation = ImmediateQuotaSimulation(seed)
-    simulation.run(SECONDS)
-    allowed = (
-        sum(min(load_factor, 1.0) for load_factor in LOAD_FACTORS) * PLAN.quota_rate * SECONDS
+    simulation.run(DURATION_S)
+    units_allowed = (
+        sum(min(load_factor, 1.0) for load_factor in LOAD_FACTORS) * PLAN.quota_rate * DURATION_S
         + PLAN.quota_burst
     )
-    over = sum(bucket.units_over_quota for bucket in simulation.buckets)
-    within = sum(bucket.units_within_quota for bucket in simulation.buckets)
-    assert PLAN.over_quota_cost * over / allowed < 0.1
-    assert within / allowed > 0.85
+    units_over_quota = sum(bucket.units_over_quota for bucket in simulation.buckets)
+    units_within_quota = sum(bucket.units_within_quota for bucket in simulation.buckets)
+    assert PLAN.over_quota_cost * units_over_quota / units_allowed < 0.1
+    assert units_within_quota / units_allowed > 0.85
--- a/tests/test_latency.py
+++ b/tests/test_latency.py
@@ -12,21 +12,21 @@
 from api_gateway.model.actions import RejectRequest, StartAttempt
 
 
-def test_a_retry_of_a_client_is_rejected_once_its_objective_has_passed() -> None:
+def test_a_client_retry_is_rejected_once_its_objective_has_passed() -> None:
     driver = GatewayDriver()
     for _ in range(50):
         driver.end(driver.ask(time_left_ms=3900, after=10)[0])
     assert actions_of_type(
         driver.ask(time_left_ms=2500)[1], RejectRequest
     )  # 1500 ms were spent, the objective was 1000
-    late_but_in_time = actions_of_type(driver.ask(time_left_ms=3500)[1], StartAttempt)[0]  # 500 ms were spent
-    assert late_but_in_time.timeout_ms <= 500
+    attempt = actions_of_type(driver.ask(time_left_ms=3500)[1], StartAttempt)[0]  # 500 ms were spent
+    assert attempt.timeout_ms <= 500
 
 
-def test_clients_that_wait_for_various_times_are_not_taken_for_retries() -> None:
+def test_requests_of_clients_with_various_timeouts_are_not_treated_as_retries() -> None:
     driver = GatewayDriver()
     rng = random.Random(3)
     for _ in range(200):
-        request_id, out = driver.ask(time_left_ms=rng.uniform(1000, 4000), after=10)
-        assert actions_of_type(out, StartAttempt)
+        request_id, actions = driver.ask(time_left_ms=rng.uniform(1000, 4000), after=10)
+        assert actions_of_type(actions, StartAttempt)
         driver.end(request_id)
--- a/tests/test_load_sampling.py
+++ b/tests/test_load_sampling.py
@@ -18,11 +18,11 @@
 from api_gateway.model.results import AttemptResult
 
 
-def test_occupancy_moves_by_its_weight_towards_the_mean() -> None:
+def test_occupancy_moves_towards_the_mean_by_the_weight_of_its_samples() -> None:
     driver = GatewayDriver()
     driver.gateway.admission.occupancy.sample_count = 100  # a fresh gateway's q is the plain mean
     driver.gateway.admission.occupancy.classes["read"].learned_baseline = 0.1
-    weight = min(occupancy.MAX_INTERVAL_WEIGHT, 2 / occupancy.REMEMBERED_SAMPLES)
+    weight = min(occupancy.MAX_INTERVAL_WEIGHT, 2 / occupancy.SMOOTHING_SAMPLES)
     for _ in range(2):
         request_id, _ = driver.ask()
         driver.end(request_id, duration_ms=500)
@@ -41,8 +41,8 @@
     driver.gateway.admission.occupancy.smoothed = 1.0
     served = 0
     for _ in range(20):  # two requests a second, answered fast
-        request_id, out = driver.ask(after=0)
-        if actions_of_type(out, StartAttempt):
+        request_id, actions = driver.ask(after=0)
+        if actions_of_type(actions, StartAttempt):
             driver.end(request_id, duration_ms=50, after=50)
             served += 1
         driver.sweep(5)
@@ -51,16 +51,18 @@
 
 def test_a_fresh_gateway_sees_an_overload_in_its_attempts_in_flight() -> None:
     driver = GatewayDriver()
-    rids = [driver.ask(after=20)[0] for _ in range(8)]
+    request_ids = [driver.ask(after=20)[0] for _ in range(8)]
     driver.sweep(6)
-    assert driver.gateway.admission.fraction < 0.1  # nothing is answered, and much has taken long already
-    for request_id in rids:
+    assert (
+        driver.gateway.admission.admitted_fraction < 0.1
+    )  # nothing is answered, and much has taken long already
+    for request_id in request_ids:
         driver.end(request_id, duration_ms=60)
     driver.sweep()
-    assert driver.gateway.admission.fraction == 1.0
+    assert driver.gateway.admission.admitted_fraction == 1.0
 
 
-def test_a_stall_of_the_gateway_is_no_sample() -> None:
+def test_attempts_during_a_stall_of_the_gateway_are_no_samples() -> None:
     driver = GatewayDriver()
     request_id, _ = driver.ask()
     driver.end(request_id, duration_ms=5000, after=5000)
@@ -74,35 +76,35 @@
 def test_one_slow_endpoint_sheds_nothing() -> None:
     driver = GatewayDriver(endpoints=6)
     driver.gateway.endpoints["h0"].latency_ratio = 10.0
-    held_on_bad = None
+    slow_request_id = None
     for _ in range(200):
-        request_id, out = driver.ask(after=5)
-        send = actions_of_type(out, StartAttempt)[0]
-        if send.endpoint == "h0":
-            held_on_bad = request_id
+        request_id, actions = driver.ask(after=5)
+        attempt = actions_of_type(actions, StartAttempt)[0]
+        if attempt.endpoint == "h0":
+            slow_request_id = request_id
             driver.end(request_id, AttemptResult.TIMED_OUT, duration_ms=1000)
         else:
             driver.end(request_id, duration_ms=50)
     driver.sweep(5)
-    assert driver.gateway.admission.fraction == 1.0
-    assert held_on_bad is None or driver.gateway.endpoints["h0"].latency_ratio > 1
+    assert driver.gateway.admission.admitted_fraction == 1.0
+    assert slow_request_id is None or driver.gateway.endpoints["h0"].latency_ratio > 1
 
 
 def test_an_outlier_gives_no_samples_but_a_slow_fleet_does() -> None:
-    for median, samples in ((1.0, 0), (10.0, 1)):
+    for median_ratio, expected_samples in ((1.0, 0), (10.0, 1)):
         driver = GatewayDriver(endpoints=1)
         request_id, _ = driver.ask()
         driver.gateway.endpoints["h0"].latency_ratio, driver.gateway.outliers.median_latency_ratio = (
             10.0,
-            median,
+            median_ratio,
         )
-        driver.gateway.admission.occupancy.recent_good = 0.5
+        driver.gateway.admission.occupancy.recent_response_occupancy = 0.5
         driver.end(request_id, AttemptResult.TIMED_OUT, duration_ms=90)
-        assert driver.gateway.admission.occupancy.pending_samples == samples
+        assert driver.gateway.admission.occupancy.pending_samples == expected_samples
 
 
 def test_lost_responses_are_no_overload_but_late_ones_are() -> None:
-    for duration_ms, pressed in ((50, False), (950, True)):
+    for duration_ms, is_overloaded in ((50, False), (950, True)):
         driver = GatewayDriver(endpoints=8)
         for i in range(60):
             request_id, _ = driver.ask(after=20)
@@ -111,4 +113,4 @@
             if request_id in driver.gateway.pending:
                 driver.end(request_id, duration_ms=duration_ms)
             driver.give(TimerFired("sweep"))
-        assert (driver.gateway.admission.fraction < 1) == pressed
+        assert (driver.gateway.admission.admitted_fraction < 1) == is_overloaded
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -24,17 +24,17 @@
 from api_gateway.model.results import CounterResult
 
 
-def remaining_after_first_total(total: float) -> float:
+def remaining_after_first_counter_value(counter_value: float) -> float:
     """What a gateway takes to be left (of 6, 2 a second) at the first total, 5 s into a window of 6."""
     driver = GatewayDriver(endpoints=60, fleet_size=40, now=1e6)
     driver.sweep(80)
     tenant = driver.gateway.requests._find_tenant(
         RequestReceived("probe", "read", "basic", "c", 4000, 1, 20, 0), PLAN, driver.now
     )
-    end = (tenant.quota.window + 1 - tenant._window_phase) * window_length_ms(tenant.plan)
+    window_end_ms = (tenant.quota.window + 1 - tenant._window_phase) * window_length_ms(tenant.plan)
     driver.gateway.tenants.clear()
-    driver.now = end - 1000
-    ask_with_totals(driver, 1, total)
+    driver.now = window_end_ms - 1000
+    ask_with_totals(driver, 1, counter_value)
     return next(iter(driver.gateway.tenants.values())).quota.remaining
 
 
@@ -45,7 +45,7 @@
     assert drive(driver, 20, plan="basic") == 4
 
 
-def test_quota_counts_what_other_gateways_used() -> None:
+def test_quota_counts_usage_of_other_gateways() -> None:
     driver = GatewayDriver()
     assert 3 <= drive(driver, 12, peer_usage=1.0, plan="basic") <= 4  # the others use about every second unit
 
@@ -55,15 +55,15 @@
     driver.now += 10000
     sent = 0
     for _ in range(12):
-        _, out = driver.ask(plan="basic")
-        for action in actions_of_type(out, IncrementCounter):
-            out = out + driver.give(CounterReply(action.name, CounterResult.TIMED_OUT, 0.0))
-        sent += len(actions_of_type(out, StartAttempt))
+        _, actions = driver.ask(plan="basic")
+        for action in actions_of_type(actions, IncrementCounter):
+            actions = actions + driver.give(CounterReply(action.name, CounterResult.TIMED_OUT, 0.0))
+        sent += len(actions_of_type(actions, StartAttempt))
     assert sent <= PLAN.quota_burst / 3 + 1
 
 
 @pytest.mark.parametrize("age_s", [2, 30])
-def test_splits_below_one_unit_add_up_over_the_fleet(age_s: int) -> None:
+def test_even_splits_below_one_unit_add_up_over_the_fleet(age_s: int) -> None:
     """300 gateways, no counter, one tenant: their second requests add up to the split, whatever its size."""
     sent = 0
     for i in range(300):
@@ -71,10 +71,12 @@
         driver.give(TimerFired("sweep"))
         driver.now += age_s * 1000
         for _ in range(3):
-            _rid, out = driver.ask(plan="basic", gateway_count=300)
-            sent += len(actions_of_type(out, StartAttempt))
-    extra = sent - 300  # the first one of each gateway is admitted: most tenants are far from their quota
-    assert extra <= 2 * quota.ESTIMATE_HEADROOM * min(PLAN.quota_burst, PLAN.quota_rate * age_s) + 3
+            _, actions = driver.ask(plan="basic", gateway_count=300)
+            sent += len(actions_of_type(actions, StartAttempt))
+    later_requests = (
+        sent - 300
+    )  # the first one of each gateway is admitted: most tenants are far from their quota
+    assert later_requests <= 2 * quota.ESTIMATE_HEADROOM * min(PLAN.quota_burst, PLAN.quota_rate * age_s) + 3
 
 
 def test_a_counter_that_restarts_empty_does_not_refill_the_quota() -> None:
@@ -85,7 +87,7 @@
     )  # a total that falls is no usage given back by other gateways
 
 
-def test_usage_beyond_the_quota_is_not_owed_for_ever() -> None:
+def test_usage_beyond_the_quota_is_not_charged_permanently() -> None:
     driver = GatewayDriver()
     drive(
         driver, 8, peer_usage=5.0, plan="basic"
@@ -103,7 +105,7 @@
     assert drive(driver, 3, plan="basic", gateway_count=1) == 0
 
 
-def test_one_request_of_another_gateway_in_the_first_total_is_no_high_rate() -> None:
+def test_one_request_of_another_gateway_in_the_first_counter_value_is_no_high_rate() -> None:
     driver = GatewayDriver(endpoints=60, fleet_size=40, now=1e6)
     driver.sweep(80)
     assert any(isinstance(a, StartAttempt) for a in ask_with_totals(driver, 1, 3))
@@ -111,16 +113,16 @@
     assert tenant.quota.peer_usage_rate * 1000 <= 2.0, (
         "two units of the others in a window that is not that new"
     )
-    length = window_length_ms(tenant.plan)
-    start = (tenant.quota.window + 1 - tenant._window_phase) * length  # of the next window
-    actions = ask_with_totals(driver, 1, 1, after=start + 50 - driver.now, before=3)
+    length_ms = window_length_ms(tenant.plan)
+    next_window_ms = (tenant.quota.window + 1 - tenant._window_phase) * length_ms  # of the next window
+    actions = ask_with_totals(driver, 1, 1, after=next_window_ms + 50 - driver.now, before=3)
     assert any(isinstance(a, StartAttempt) for a in actions), "3 of 6 units used: its bucket is not empty"
 
 
-def test_what_is_left_follows_from_the_first_total() -> None:
+def test_remaining_quota_follows_from_the_first_counter_value() -> None:
     """The total holds what was owed at the window's start: 6 + 2 x 5 s less that is left, 6 at most."""
-    assert remaining_after_first_total(7) == pytest.approx(5.0), (
+    assert remaining_after_first_counter_value(7) == pytest.approx(5.0), (
         "7 units in 5 s at 2 a second: it has refilled, but for ours"
     )
-    assert remaining_after_first_total(13) == pytest.approx(3.0, abs=0.1)
-    assert remaining_after_first_total(17) < 1, "what refilled is gone"
+    assert remaining_after_first_counter_value(13) == pytest.approx(3.0, abs=0.1)
+    assert remaining_after_first_counter_value(17) < 1, "what refilled is gone"
--- a/tests/test_request_flow.py
+++ b/tests/test_request_flow.py
@@ -234,7 +234,7 @@
 def test_rejections_by_load_and_endpoints_tell_their_reason() -> None:
     driver = GatewayDriver(endpoints=1, max_attempts=1)
     request_id, _ = driver.ask()
-    driver.gateway.admission.shares["read", "open"].fraction = 0.05
+    driver.gateway.admission.shares["read", "open"].admitted_fraction = 0.05
     assert reason_of(driver.ask()[1]) is RejectReason.LOAD_SHED
     assert reason_of(driver.end(request_id, AttemptResult.OVERLOADED)) is RejectReason.ATTEMPTS_EXHAUSTED
     driver.give(EndpointUpdate(UpdateKind.CHANGES, (endpoint(0, status=EndpointStatus.DRAINING),)))
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -21,25 +21,29 @@
 from api_gateway.model.results import CounterResult
 
 
-def test_tenants_of_one_request_are_forgotten() -> None:
+def test_tenants_with_a_single_request_are_forgotten() -> None:
     driver = GatewayDriver()
     for i in range(300):
-        request_id, out = driver.ask(plan="basic", tenant=f"k{i}")
-        for action in actions_of_type(out, IncrementCounter):
+        request_id, actions = driver.ask(plan="basic", tenant=f"k{i}")
+        for action in actions_of_type(actions, IncrementCounter):
             driver.give(CounterReply(action.name, CounterResult.TIMED_OUT, 0.0))
         if request_id in driver.gateway.pending:
             driver.end(request_id)
     driver.sweep(400)
-    assert not driver.gateway.tenants and not driver.gateway.reporter._tenants and not driver.gateway.pending
+    assert (
+        not driver.gateway.tenants
+        and not driver.gateway.reporter._tenants_by_count
+        and not driver.gateway.pending
+    )
 
 
-def test_known_tenants_are_bounded_and_those_in_use_are_kept(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_number_of_tenants_is_limited_and_those_in_use_are_kept(monkeypatch: pytest.MonkeyPatch) -> None:
     """New names must not fill the memory, nor evict a tenant whose ceiling share is not full."""
     monkeypatch.setattr(tenants, "MAX_TENANTS", 50)
     driver = GatewayDriver(counter_enabled=False)
     for i in range(300):
-        request_id, out = driver.ask(plan="basic", tenant=f"k{i}")
-        assert actions_of_type(out, StartAttempt)
+        request_id, actions = driver.ask(plan="basic", tenant=f"k{i}")
+        assert actions_of_type(actions, StartAttempt)
         driver.end(request_id)
         assert len(driver.gateway.tenants) <= 50
     for i in range(60):  # a ceiling share is not forgotten before it would be full again
--- a/tests/test_usage_reporting.py
+++ b/tests/test_usage_reporting.py
@@ -24,81 +24,93 @@
 from api_gateway.model.results import CounterResult
 
 
-def test_near_the_limit_a_request_waits_for_the_total_and_is_answered() -> None:
+def test_near_the_limit_a_request_waits_for_the_counter_value_and_gets_a_response() -> None:
     driver = GatewayDriver()
     drive(driver, 5, plan="basic")
     driver.gateway.tenants[
         "c", "basic"
     ].quota.remaining = 0.0  # the estimate says no; the last total left one unit
-    request_id, out = driver.ask(plan="basic")
+    request_id, actions = driver.ask(plan="basic")
     assert (
-        not actions_of_type(out, StartAttempt)
-        and not actions_of_type(out, RejectRequest)
-        and actions_of_type(out, IncrementCounter)
+        not actions_of_type(actions, StartAttempt)
+        and not actions_of_type(actions, RejectRequest)
+        and actions_of_type(actions, IncrementCounter)
     )
-    out = driver.give(CounterReply(calls_of(driver)[-1].name, CounterResult.TIMED_OUT, 0.0), 30)
-    assert len(actions_of_type(out, StartAttempt)) + len(actions_of_type(out, RejectRequest)) == 1
+    actions = driver.give(CounterReply(calls_of(driver)[-1].name, CounterResult.TIMED_OUT, 0.0), 30)
+    assert len(actions_of_type(actions, StartAttempt)) + len(actions_of_type(actions, RejectRequest)) == 1
     assert not driver.gateway.reporter.is_waiting(request_id)
 
 
-def test_units_of_a_rejected_request_are_taken_back_while_the_counter_answers() -> None:
-    for heard, amounts in ((1.0, [1, -1]), (0.0, [1])):
+def test_units_of_a_rejected_request_are_taken_back_while_the_counter_responds() -> None:
+    for response_fraction, amounts in ((1.0, [1, -1]), (0.0, [1])):
         driver = GatewayDriver()
         driver.ask(plan="basic")
-        driver.gateway.counter_health.answered_ratio = heard
+        driver.gateway.counter_health.response_fraction = response_fraction
         driver.gateway.rng.random = lambda: 0.5
         driver.give(CounterReply(calls_of(driver)[0].name, CounterResult.OK, 100.0))
         assert [c.amount for c in calls_of(driver)] == amounts
 
 
-@pytest.mark.parametrize("left", [5, 60, 200])
-def test_a_request_with_little_time_left_does_not_wait_for_a_total(left: float) -> None:
+@pytest.mark.parametrize("remaining_time_ms", [5, 60, 200])
+def test_a_request_with_little_remaining_time_does_not_wait_for_a_counter_value(
+    remaining_time_ms: float,
+) -> None:
     driver = GatewayDriver(counter_timeout_ms=30)
-    request_id, out = driver.ask(plan="basic", time_left_ms=left)
-    assert len(actions_of_type(out, StartAttempt)) + len(actions_of_type(out, RejectRequest)) == 1
+    request_id, actions = driver.ask(plan="basic", time_left_ms=remaining_time_ms)
+    assert len(actions_of_type(actions, StartAttempt)) + len(actions_of_type(actions, RejectRequest)) == 1
     assert not driver.gateway.reporter.is_waiting(request_id)
 
 
-def test_a_reply_that_never_comes_does_not_cost_the_answer() -> None:
+def test_a_request_without_a_counter_reply_still_gets_a_response() -> None:
     driver = GatewayDriver()
     drive(driver, 5, plan="basic")
     driver.gateway.tenants["c", "basic"].quota.remaining = 0.0
-    request_id, _out = driver.ask(plan="basic")
+    request_id, _ = driver.ask(plan="basic")
     driver.sweep(3)
-    finals = [
+    outcomes = [
         a for _, a in driver.log if isinstance(a, StartAttempt | RejectRequest) and a.request_id == request_id
     ]
-    assert len(finals) == 1 and not driver.gateway.reporter._waiting
+    assert len(outcomes) == 1 and not driver.gateway.reporter._waiting_requests
 
 
-def test_plans_with_windows_of_one_length_count_apart() -> None:
-    twin = dataclasses.replace(PLAN, name="twin")
-    driver = GatewayDriver(plans=(PLAN, twin, CAPPED))
+def test_plans_with_windows_of_equal_length_have_separate_counts() -> None:
+    same_window_plan = dataclasses.replace(PLAN, name="twin")
+    driver = GatewayDriver(plans=(PLAN, same_window_plan, CAPPED))
     names = [
         actions_of_type(driver.ask(plan=plan, tenant="c")[1], IncrementCounter)[0].name
         for plan in ("basic", "twin", "capped")
     ]
     assert len(set(names)) == 3
-    alone = actions_of_type(GatewayDriver().ask(plan="basic", tenant="c")[1], IncrementCounter)[0].name
-    assert names[0] != alone == names[0].replace(".0.", ".")  # where no other window is as long: no tag
+    untagged_name = actions_of_type(GatewayDriver().ask(plan="basic", tenant="c")[1], IncrementCounter)[
+        0
+    ].name
+    assert (
+        names[0] != untagged_name == names[0].replace(".0.", ".")
+    )  # where no other window is as long: no tag
 
 
-@pytest.mark.parametrize(("before", "sent"), [(17, True), (18, False), (40, False)])
-def test_the_first_report_of_a_window_carries_over_the_debt_of_the_last(before: float, sent: bool) -> None:
+@pytest.mark.parametrize(("previous_counter_value", "is_sent"), [(17, True), (18, False), (40, False)])
+def test_the_first_report_of_a_window_carries_over_the_debt_of_the_last(
+    previous_counter_value: float, is_sent: bool
+) -> None:
     driver = GatewayDriver(endpoints=60, fleet_size=40, now=1e6)
     driver.sweep(80)
     ask_with_totals(driver, 1, 3)
     tenant = next(iter(driver.gateway.tenants.values()))
-    start = (tenant.quota.window + 1 - tenant._window_phase) * window_length_ms(tenant.plan)
-    actions = ask_with_totals(driver, 1, 1, after=start + 50 - driver.now, before=before)
+    next_window_ms = (tenant.quota.window + 1 - tenant._window_phase) * window_length_ms(tenant.plan)
+    actions = ask_with_totals(
+        driver, 1, 1, after=next_window_ms + 50 - driver.now, before=previous_counter_value
+    )
     amounts = [a.amount for a in actions if isinstance(a, IncrementCounter)]
     assert amounts[:2] == [1, 0], "its own unit, then a look at the last window's count"
-    assert sum(amounts) == pytest.approx(min(before - 12, 6)), "12 refilled; its own is taken off"
-    assert any(isinstance(a, StartAttempt) for a in actions) == sent
+    assert sum(amounts) == pytest.approx(min(previous_counter_value - 12, 6)), (
+        "12 refilled; its own is taken off"
+    )
+    assert any(isinstance(a, StartAttempt) for a in actions) == is_sent
     assert tenant.quota.remaining < 0.2
 
 
-def test_refill_that_found_the_bucket_full_expires_for_all() -> None:
+def test_refill_of_a_full_bucket_expires_for_all_gateways() -> None:
     driver = GatewayDriver(endpoints=60, fleet_size=40, now=1e6)
     driver.sweep(80)
     tenant = driver.gateway.requests._find_tenant(
@@ -106,8 +118,8 @@
     )
     driver.now = (tenant.quota.window + 1 - tenant._window_phase) * window_length_ms(tenant.plan) + 4000
     request_id, actions = driver.ask(plan="basic", units=1, gateway_count=20)
-    first = next(a for a in actions if isinstance(a, IncrementCounter))
-    driver.give(CounterReply(first.name, CounterResult.OK, 1), 2)
+    first_call = next(a for a in actions if isinstance(a, IncrementCounter))
+    driver.give(CounterReply(first_call.name, CounterResult.OK, 1), 2)
     actions = driver.end(request_id, actual_units=2)
-    settled = next(a for a in actions if isinstance(a, IncrementCounter))
-    assert settled.amount == pytest.approx(1 + 2 * 4.0, abs=0.1), "one unit more, and 4 s of refill"
+    correction = next(a for a in actions if isinstance(a, IncrementCounter))
+    assert correction.amount == pytest.approx(1 + 2 * 4.0, abs=0.1), "one unit more, and 4 s of refill"
