--- a/api_gateway/decisions/occupancy.py
+++ b/api_gateway/decisions/occupancy.py
@@ -98,9 +98,9 @@
 
     def _record_latency(self, latency: float) -> None:
         self.sample_count += 1
-        offset = latency - self.mean
-        self.mean += offset * max(1 / self.sample_count, 1 / SMOOTHING_SAMPLES)
-        self.variance += (offset * offset - self.variance) * max(
+        deviation = latency - self.mean
+        self.mean += deviation * max(1 / self.sample_count, 1 / SMOOTHING_SAMPLES)
+        self.variance += (deviation * deviation - self.variance) * max(
             1 / self.sample_count, 1 / VARIANCE_SMOOTHING_SAMPLES
         )
 
@@ -168,8 +168,8 @@
         self.recent_response_occupancy = 0.0  # mean of the last answers in time
         self.lost_response_fraction = 0.0  # responses that never came while others were fast
         self.baseline_ms = 0.0  # latency of the last answers' classes on idle endpoints, in the mean
-        self._pending_sum = 0.0
-        self._pending_variance = 0.0
+        self._pending_occupancy_sum = 0.0
+        self._pending_variance_sum = 0.0
         self._noise_variance = 0.0  # of the smoothed occupancy, by single answers that differ
         self._baseline_excess = 0.0  # of the last answers' classes, in the mean
 
@@ -209,7 +209,7 @@
         self.lost_response_fraction -= self.lost_response_fraction / (4 * MIN_RELIABLE_SAMPLES)
         predicted_latency = min(baseline + predicted_delay_ms / class_latency.latency_objective_ms, 1.0)
         predicted = class_latency.occupancy(predicted_latency)
-        self._add(sample + weight * (predicted - sample), (1 - weight) ** 2 * variance)
+        self._add_sample(sample + weight * (predicted - sample), (1 - weight) ** 2 * variance)
 
     def record_timeout(self, class_name: str) -> bool:
         """Take in an attempt with no answer in time.
@@ -232,12 +232,12 @@
 
     def record_overload(self) -> None:
         """Take in an attempt that an endpoint rejected or left without an answer."""
-        self._add(1.0, 0.0)
+        self._add_sample(1.0, 0.0)
 
-    def _add(self, sample: float, variance: float) -> None:
+    def _add_sample(self, sample: float, variance: float) -> None:
         self.pending_samples += 1
-        self._pending_sum += sample
-        self._pending_variance += variance
+        self._pending_occupancy_sum += sample
+        self._pending_variance_sum += variance
 
     def update(self, admitted_fraction: float) -> bool:
         """Take the samples since the last update into the smoothed occupancy.
@@ -255,12 +255,12 @@
         weight = new_samples / self.sample_count
         if self.sample_count > SMOOTHING_SAMPLES:
             weight = min(MAX_INTERVAL_WEIGHT, new_samples / (SMOOTHING_SAMPLES * admitted_fraction))
-        mean = self._pending_sum / new_samples
+        mean = self._pending_occupancy_sum / new_samples
         self.smoothed = min(max((1 - weight) * self.smoothed + weight * mean, 0.0), 1.0)
-        variance = self._pending_variance / new_samples**2
+        variance = self._pending_variance_sum / new_samples**2
         self._noise_variance = (1 - weight) ** 2 * self._noise_variance + weight**2 * variance
         self.pending_samples = 0
-        self._pending_sum = self._pending_variance = 0.0
+        self._pending_occupancy_sum = self._pending_variance_sum = 0.0
         return True
 
     def decay(self, factor: float) -> None:
