--- a/api_gateway/__main__.py
+++ b/api_gateway/__main__.py
@@ -10,7 +10,7 @@
 
 import uvloop
 
-from api_gateway.configuration import Configuration, load
+from api_gateway.configuration import Configuration, load_configuration
 from api_gateway.errors import ConfigurationError, ListenError
 from api_gateway.logs import configure_logging, lifecycle_log
 from api_gateway.network.address import Address
@@ -19,8 +19,10 @@
 from api_gateway.shutdown import GracefulShutdown
 
 EXIT_OK = 0
-EXIT_CANNOT_START = 2
-GC_THRESHOLD = 20_000  # allocations; requests leave next to no cycles, so the collector can run seldom
+EXIT_START_FAILED = 2
+GC_THRESHOLD_ALLOCATIONS = (
+    20_000  # allocations; requests leave next to no cycles, so the collector can run seldom
+)
 
 
 def main() -> int:
@@ -31,35 +33,35 @@
         cannot be used, the address cannot be listened on, or another call of the system failed.
     """
     try:
-        config = load(os.environ)
+        configuration = load_configuration(os.environ)
     except ConfigurationError as error:
         print(error, file=sys.stderr)
-        return EXIT_CANNOT_START
-    configure_logging(config.name)
+        return EXIT_START_FAILED
+    configure_logging(configuration.name)
     try:
-        uvloop.run(serve(config))
+        uvloop.run(serve(configuration))
     except OSError as error:
         print(error, file=sys.stderr)
-        return EXIT_CANNOT_START
+        return EXIT_START_FAILED
     return EXIT_OK
 
 
-async def serve(config: Configuration) -> None:
+async def serve(configuration: Configuration) -> None:
     """Serve requests until SIGTERM or SIGINT has been handled.
 
     Args:
-        config: The configuration of the gateway.
+        configuration: The configuration of the gateway.
 
     Raises:
         ListenError: The address for clients cannot be listened on.
         OSError: Another call of the system failed during start-up.
     """
     loop = asyncio.get_running_loop()
-    dispatcher = Dispatcher(config, loop)
-    listener = Listener(dispatcher, loop, config.max_descriptors)
+    dispatcher = Dispatcher(configuration, loop)
+    listener = Listener(dispatcher, loop, configuration.max_descriptors)
     shutdown = GracefulShutdown(dispatcher, listener, loop)
     _install_signal_handlers(loop, dispatcher, shutdown)
-    await _start_up(dispatcher, listener, config.listen)
+    await _start_up(dispatcher, listener, configuration.listen)
     await shutdown.finished.wait()
     _shut_down(dispatcher)
 
@@ -81,17 +83,17 @@
         raise ListenError(f"listen: {error}") from error
     lifecycle_log.info("listening on %s:%d", host, port)
     gc.freeze()
-    gc.set_threshold(GC_THRESHOLD)
+    gc.set_threshold(GC_THRESHOLD_ALLOCATIONS)
 
 
 def _reload(dispatcher: Dispatcher) -> None:
     try:
-        config = load(os.environ, is_reload=True)
+        configuration = load_configuration(os.environ, is_reload=True)
     except ConfigurationError as error:
         lifecycle_log.error('reload_failed configuration=kept error="%s"', error)
         return
-    dispatcher.reload(config)
-    lifecycle_log.info("reloaded discovery=%s:%d", *config.discovery)
+    dispatcher.reload(configuration)
+    lifecycle_log.info("reloaded discovery=%s:%d", *configuration.discovery)
 
 
 def _shut_down(dispatcher: Dispatcher) -> None:
--- a/api_gateway/configuration.py
+++ b/api_gateway/configuration.py
@@ -17,20 +17,20 @@
     check_settings,
     decode_settings,
     decode_transport_settings,
-    flatten,
+    flatten_settings,
 )
 
 CONFIGURATION_VARIABLE = "ROUTER_CONFIG"
-OVERRIDES = {"name": "ROUTER_NAME", "listen": "ROUTER_LISTEN", "discovery": "ROUTER_DISCOVERY"}
+OVERRIDE_VARIABLES = {"name": "ROUTER_NAME", "listen": "ROUTER_LISTEN", "discovery": "ROUTER_DISCOVERY"}
 
 # A busy counter answers later than the configured time, and a late total is as true as any other. Waiting for
 # it keeps the counter from being mistaken for one that is down.
 COUNTER_TIMEOUT_FACTOR = 3.0
 
-DEFAULT_DESCRIPTORS = 1024
+DEFAULT_MAX_DESCRIPTORS = 1024
 MIN_DESCRIPTORS = 128
-DOWNSTREAM_SHARE = 0.5
-UPSTREAM_SHARE = 0.36
+DOWNSTREAM_FRACTION = 0.5
+UPSTREAM_FRACTION = 0.36
 # Held by the process beside connections to clients and endpoints: four connections to the counter and one to
 # discovery (each twice while SIGHUP moves them), the listening socket, the standard streams, the event loop's
 # own, and connections that are closed in one turn of the loop and freed in the next.
@@ -70,7 +70,7 @@
     max_poll_interval_ms: float = 10000.0
 
 
-def load(environment: Mapping[str, str], is_reload: bool = False) -> Configuration:
+def load_configuration(environment: Mapping[str, str], is_reload: bool = False) -> Configuration:
     """Read the file that `ROUTER_CONFIG` names; the other variables take precedence over the file.
 
     Args:
@@ -85,20 +85,20 @@
     if not path:
         raise ConfigurationError(f"{CONFIGURATION_VARIABLE}: is not set")
     raw = _read_json_object(path)
-    for key, variable in OVERRIDES.items():
+    for key, variable in OVERRIDE_VARIABLES.items():
         if environment.get(variable) and not (is_reload and key == "discovery"):
             raw[key] = environment[variable]
-    return parse(raw)
+    return parse_configuration(raw)
 
 
-def parse(raw: Mapping[str, object]) -> Configuration:
+def parse_configuration(raw: Mapping[str, object]) -> Configuration:
     """Convert the JSON object of the file to a `Configuration`.
 
     Raises:
         ConfigurationError: No gateway can be started with it; the text names the key.
     """
-    pairs = flatten(_parse_object(raw, "settings"))
-    settings = _parse_settings(pairs)
+    values_by_path = flatten_settings(_parse_object(raw, "settings"))
+    settings = _parse_settings(values_by_path)
     counter = raw.get("counter")
     if settings.counter_enabled and not counter:
         raise ConfigurationError("counter: is missing, though the settings allow calls")
@@ -108,7 +108,7 @@
     counter_address = _parse_address(raw, "counter") if counter else None
     seed = _parse_seed(raw)
     max_descriptors = _parse_max_descriptors(raw)
-    transport = _parse_transport_settings(pairs)
+    transport = _parse_transport_settings(values_by_path)
     return Configuration(
         name=str(raw.get("name", "")),
         listen=listen,
@@ -126,7 +126,7 @@
 
 def max_downstream_connections(max_descriptors: int) -> int:
     """Return how many of the descriptors connections of clients may hold."""
-    return int(DOWNSTREAM_SHARE * max_descriptors)
+    return int(DOWNSTREAM_FRACTION * max_descriptors)
 
 
 def max_upstream_connections(max_descriptors: int) -> int:
@@ -135,7 +135,7 @@
     Connections to discovery and the counter always find a descriptor beside them.
     """
     unreserved = max_descriptors - max_downstream_connections(max_descriptors) - RESERVED_DESCRIPTORS
-    return min(int(UPSTREAM_SHARE * max_descriptors), unreserved)
+    return min(int(UPSTREAM_FRACTION * max_descriptors), unreserved)
 
 
 def _read_json_object(path: str) -> dict[str, object]:
@@ -162,18 +162,18 @@
     return address
 
 
-def _parse_settings(pairs: Mapping[str, str]) -> Settings:
+def _parse_settings(values_by_path: Mapping[str, str]) -> Settings:
     try:
-        settings = decode_settings(pairs)
+        settings = decode_settings(values_by_path)
         check_settings(settings)
     except SettingError as error:
         raise ConfigurationError(f"settings: {error}") from None
     return replace(settings, counter_timeout_ms=COUNTER_TIMEOUT_FACTOR * settings.counter_timeout_ms)
 
 
-def _parse_transport_settings(pairs: Mapping[str, str]) -> TransportSettings:
+def _parse_transport_settings(values_by_path: Mapping[str, str]) -> TransportSettings:
     try:
-        return decode_transport_settings(pairs)
+        return decode_transport_settings(values_by_path)
     except SettingError as error:
         raise ConfigurationError(f"settings: {error}") from None
 
@@ -196,7 +196,7 @@
 
 def _parse_max_descriptors(raw: Mapping[str, object]) -> int:
     limits = raw.get("limits") or {}
-    value = limits.get("sockets", DEFAULT_DESCRIPTORS) if isinstance(limits, dict) else None
+    value = limits.get("sockets", DEFAULT_MAX_DESCRIPTORS) if isinstance(limits, dict) else None
     if not isinstance(value, int) or value < MIN_DESCRIPTORS:
         raise ConfigurationError(f"limits.sockets: must be a whole number of {MIN_DESCRIPTORS} or more")
     system_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
--- a/api_gateway/logs.py
+++ b/api_gateway/logs.py
@@ -26,8 +26,8 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self._second = 0
-        self._lines = 0
+        self._current_second = 0
+        self._line_count = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
         """Return whether a line is within the rate.
@@ -38,17 +38,17 @@
         if record.name == lifecycle_log.name:
             return True
         second = int(time.monotonic())
-        if second != self._second:
+        if second != self._current_second:
             self._start_second(second)
-        self._lines += 1
-        return self._lines <= MAX_LINES_PER_S
+        self._line_count += 1
+        return self._line_count <= MAX_LINES_PER_S
 
     def _start_second(self, second: int) -> None:
-        dropped = self._lines - MAX_LINES_PER_S
+        dropped = self._line_count - MAX_LINES_PER_S
         if dropped > 0:
             sys.stderr.write(f"log_lines_dropped count={dropped}\n")
-        self._second = second
-        self._lines = 0
+        self._current_second = second
+        self._line_count = 0
 
 
 def configure_logging(gateway_name: str) -> None:
--- a/api_gateway/network/downstream/connection.py
+++ b/api_gateway/network/downstream/connection.py
@@ -59,16 +59,16 @@
         self._listener = listener
         self._dispatcher = listener.dispatcher
         self._parser = httptools.HttpRequestParser(self)
-        self._incoming: ParsedRequest | None = None  # being read
+        self._partial_request: ParsedRequest | None = None  # being read
         self._received_bytes = 0  # of the request being read, or discarded after the last response
         self._queue: deque[ParsedRequest | BadRequestError] = deque()
-        self._awaiting_response = False
+        self._is_awaiting_response = False
         self._request_id: str | None = None  # of the request that the dispatcher has
         self._keep_alive = True  # of the request that awaits its response
-        self._discarding_input = False
-        self._serving_queue = False
-        self._reading_paused = False
-        self._writing_paused = False
+        self._is_discarding_input = False
+        self._is_serving_queue = False
+        self._is_reading_paused = False
+        self._is_writing_paused = False
 
     # asyncio.Protocol
 
@@ -80,22 +80,22 @@
     def data_received(self, data: bytes) -> None:
         """Parse what has arrived, and serve the requests that it completes."""
         self._received_bytes += len(data)
-        if self._discarding_input:
+        if self._is_discarding_input:
             if self._received_bytes > MAX_LINGER_BYTES:
                 self.transport.abort()
             return
-        if self._incoming is None and not self._awaiting_response and self.has_responded:
+        if self._partial_request is None and not self._is_awaiting_response and self.has_responded:
             self._listener.connection_receiving(self)  # the request read timeout runs from here
         self._parse(data)
         self._serve_queue()
 
     def pause_writing(self) -> None:
         """Take no further request until the client has read its responses."""
-        self._writing_paused = True
+        self._is_writing_paused = True
 
     def resume_writing(self) -> None:
         """Continue with the queued requests."""
-        self._writing_paused = False
+        self._is_writing_paused = False
         self._serve_queue()
 
     def eof_received(self) -> None:
@@ -104,7 +104,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """Report to the dispatcher that nobody waits for the response any more."""
         self._listener.connection_closed(self)
-        self._discarding_input = True
+        self._is_discarding_input = True
         self._queue.clear()
         if self._request_id is not None:
             self._dispatcher.client_disconnected(self._request_id)
@@ -116,15 +116,15 @@
         """Begin a request, unless too many are queued already."""
         if len(self._queue) > MAX_PIPELINED_REQUESTS:
             raise BadRequestError("too many pipelined requests")
-        self._incoming = ParsedRequest()
+        self._partial_request = ParsedRequest()
 
     def on_url(self, url: bytes) -> None:
         """Add a piece of the request target."""
-        self._incoming.target += url
+        self._partial_request.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Add a header."""
-        request = self._incoming
+        request = self._partial_request
         name = name.lower()
         request.header_bytes += len(name) + len(value)
         if request.header_bytes > MAX_HEADER_BYTES:
@@ -137,23 +137,23 @@
 
     def on_headers_complete(self) -> None:
         """Check the framing before any of the body is read."""
-        request = self._incoming
+        request = self._partial_request
         request.method = self._parser.get_method()
         request.path = request.target.partition(b"?")[0]
         request.check_framing()
-        if not self._awaiting_response and request.expects_continue:
+        if not self._is_awaiting_response and request.expects_continue:
             self.transport.write(CONTINUE_RESPONSE)
 
     def on_body(self, data: bytes) -> None:
         """Add a piece of the body."""
-        self._incoming.add_body(data)
+        self._partial_request.add_body(data)
 
     def on_message_complete(self) -> None:
         """Queue the complete request."""
-        request = self._incoming
+        request = self._partial_request
         request.keep_alive = self._parser.should_keep_alive()
         request.received_at_s = time.monotonic()
-        self._incoming = None
+        self._partial_request = None
         self._received_bytes = 0
         self._queue.append(request)
 
@@ -164,46 +164,46 @@
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             # No other protocol is offered: the request is served, as the last one (RFC 9110 section 7.8).
-            self._discarding_input = True
+            self._is_discarding_input = True
             self._queue[-1].keep_alive = False
         except httptools.HttpParserError as error:
             cause = error.__context__
             self._reject(cause if isinstance(cause, BadRequestError) else BadRequestError("malformed"))
         else:
             # Bounds what the parser buffers or skips itself, such as a header or chunk line without an end.
-            is_reading_head = self._incoming is not None and not self._incoming.method
+            is_reading_head = self._partial_request is not None and not self._partial_request.method
             if self._received_bytes > (MAX_HEADER_BYTES if is_reading_head else MAX_REQUEST_WIRE_BYTES):
                 self._reject(BadRequestError("message is too long"))
 
     def _reject(self, error: BadRequestError) -> None:
         """Queue an error behind the requests that came before it, and discard all further input."""
-        if not self._discarding_input:
-            self._discarding_input = True
-            self._incoming = None
+        if not self._is_discarding_input:
+            self._is_discarding_input = True
+            self._partial_request = None
             self._queue.append(error)
 
     def _serve_queue(self) -> None:
         """Serve the queued requests one at a time; reading is paused while any is queued."""
-        if self._serving_queue or self.transport is None:
+        if self._is_serving_queue or self.transport is None:
             return
-        self._serving_queue = True
+        self._is_serving_queue = True
         try:
-            while self._queue and not self._awaiting_response and not self._writing_paused:
+            while self._queue and not self._is_awaiting_response and not self._is_writing_paused:
                 self._serve(self._queue.popleft())
         finally:
-            self._serving_queue = False
-        if bool(self._queue) != self._reading_paused and not self.transport.is_closing():
+            self._is_serving_queue = False
+        if bool(self._queue) != self._is_reading_paused and not self.transport.is_closing():
             self._toggle_reading()
 
     def _toggle_reading(self) -> None:
-        self._reading_paused = not self._reading_paused
-        if self._reading_paused:
+        self._is_reading_paused = not self._is_reading_paused
+        if self._is_reading_paused:
             self.transport.pause_reading()
         else:
             self.transport.resume_reading()
 
     def _serve(self, request: ParsedRequest | BadRequestError) -> None:
-        self._awaiting_response = True
+        self._is_awaiting_response = True
         self._listener.connection_awaiting_response(self)
         if isinstance(request, BadRequestError):
             self._respond_to_bad_request(request)
@@ -230,7 +230,7 @@
         request_id = self._dispatcher.submit(self, inbound_request)
         if request_id is None:
             raise BadRequestError("X-Request-Id is in use", 409)
-        if self._awaiting_response:  # the dispatcher may have responded within the call
+        if self._is_awaiting_response:  # the dispatcher may have responded within the call
             self._request_id = request_id
 
     # Responses
@@ -247,7 +247,7 @@
             retry_after_ms: When the client may send the request again; 0 for no Retry-After.
         """
         self._request_id = None
-        self._awaiting_response = False
+        self._is_awaiting_response = False
         self.has_responded = True
         if self.transport.is_closing():
             return
@@ -279,8 +279,8 @@
 
     def _close_after_response(self, status: int) -> None:
         """Close, or half-close if the client may still be sending, and discard what arrives."""
-        may_be_sending = self._incoming is not None or 400 <= status < 500
-        self._discarding_input = True
+        may_be_sending = self._partial_request is not None or 400 <= status < 500
+        self._is_discarding_input = True
         self._queue.clear()
         self._received_bytes = 0
         if may_be_sending:
@@ -297,10 +297,10 @@
             now_s: The loop time. Only called while no response is awaited.
         """
         waited_s = now_s - self.receiving_since_s
-        if self._discarding_input:
+        if self._is_discarding_input:
             if waited_s > LINGER_TIMEOUT_S:
                 self.transport.abort()
-        elif self._incoming is not None and waited_s > REQUEST_READ_TIMEOUT_S:
+        elif self._partial_request is not None and waited_s > REQUEST_READ_TIMEOUT_S:
             self._reject(BadRequestError("request was not complete in time", 408))
             self._serve_queue()
         elif waited_s > self._idle_timeout_s() and self.is_idle():
@@ -315,8 +315,8 @@
         If a connection with an unread request were closed, the request would fail at the client.
         """
         return not (
-            self._awaiting_response
-            or self._incoming is not None
+            self._is_awaiting_response
+            or self._partial_request is not None
             or self._queue
             or self.transport.is_closing()
             or has_unread_data(self.transport)
--- a/api_gateway/network/downstream/listener.py
+++ b/api_gateway/network/downstream/listener.py
@@ -18,7 +18,7 @@
 BACKLOG = 256
 TIMEOUT_CHECK_INTERVAL_S = 0.25
 ACCEPT_RETRY_DELAY_S = 0.05
-MAX_ACCEPTS_PER_TURN = 16  # of the loop, which has other sockets to serve
+MAX_ACCEPTS_PER_ITERATION = 16  # of the loop, which has other sockets to serve
 MAX_EVICTION_CANDIDATES = 16  # each costs a system call
 
 
@@ -32,27 +32,25 @@
         connections: All open connections.
     """
 
-    def __init__(
-        self, dispatcher: Dispatcher, loop: asyncio.AbstractEventLoop, descriptor_limit: int
-    ) -> None:
+    def __init__(self, dispatcher: Dispatcher, loop: asyncio.AbstractEventLoop, max_descriptors: int) -> None:
         """Prepare to listen.
 
         Args:
             dispatcher: Serves the requests.
             loop: The event loop.
-            descriptor_limit: File descriptors of the whole process; clients get a share of them.
+            max_descriptors: File descriptors of the whole process; clients get a share of them.
         """
         self.dispatcher = dispatcher
         self.loop = loop
         self.validator = RequestValidator(dispatcher.settings)
         self.connections: set[DownstreamConnection] = set()
-        self._max_connections = max_downstream_connections(descriptor_limit)
+        self._max_connections = max_downstream_connections(max_descriptors)
         # Connections that await no response, so that only the client may send, in the order of their
         # `receiving_since_s`; used as ordered sets. They are not all idle: a request may be half read.
         self._receiving_after_response: dict[DownstreamConnection, None] = {}
         self._receiving_first_request: dict[DownstreamConnection, None] = {}
         self._socket: socket.socket | None = None
-        self._accepting = False
+        self._is_accepting = False
         self._accept_tasks: set[asyncio.Task] = set()
 
     def start(self, address: tuple[str, int]) -> tuple[str, int]:
@@ -159,23 +157,23 @@
     # Accepting
 
     def _resume_accepting(self) -> None:
-        if self._socket is not None and not self._accepting and self._ensure_capacity():
-            self._accepting = True
-            self.loop.add_reader(self._socket, self._accept, MAX_ACCEPTS_PER_TURN)
+        if self._socket is not None and not self._is_accepting and self._ensure_capacity():
+            self._is_accepting = True
+            self.loop.add_reader(self._socket, self._accept, MAX_ACCEPTS_PER_ITERATION)
 
     def _pause_accepting(self) -> None:
-        if self._accepting:
-            self._accepting = False
+        if self._is_accepting:
+            self._is_accepting = False
             self.loop.remove_reader(self._socket)
 
-    def _accept(self, max_connections: int) -> bool:
+    def _accept(self, max_accepts: int) -> bool:
         """Accept connections from the backlog; return whether the backlog is empty then."""
-        for _ in range(max_connections):
+        for _ in range(max_accepts):
             if not self._ensure_capacity():
                 self._pause_accepting()
                 return False
             try:
-                accepted, _ = self._socket.accept()
+                client_socket, _ = self._socket.accept()
             except BlockingIOError:
                 return True
             except (InterruptedError, ConnectionAbortedError):
@@ -185,13 +183,13 @@
                 self._pause_accepting()
                 self.loop.call_later(ACCEPT_RETRY_DELAY_S, self._resume_accepting)
                 return False
-            self._start_connection(accepted)
+            self._start_connection(client_socket)
         return False
 
-    def _start_connection(self, accepted: socket.socket) -> None:
-        accepted.setblocking(False)
+    def _start_connection(self, client_socket: socket.socket) -> None:
+        client_socket.setblocking(False)
         task = self.loop.create_task(
-            self.loop.connect_accepted_socket(lambda: DownstreamConnection(self), accepted)
+            self.loop.connect_accepted_socket(lambda: DownstreamConnection(self), client_socket)
         )
         self._accept_tasks.add(task)
         task.add_done_callback(self._connection_started)
--- a/api_gateway/network/downstream/request_parsing.py
+++ b/api_gateway/network/downstream/request_parsing.py
@@ -12,32 +12,32 @@
 
 MAX_HEADER_BYTES = 32 * 1024
 MAX_BODY_BYTES = 64 * 1024
-TENANT_LIMIT = 2**33  # the protocol page: tenants are numbers below 2**33, written as 16 hex digits
-
-REQUEST_ID = b"x-request-id"
-REQUEST_CLASS = b"x-class"
-PLAN = b"plan"
-DEADLINE = b"x-deadline"
-QUOTA_INFO = b"quota-info"
-RETRY = b"x-retry"
-IDEMPOTENCY_KEY = b"idempotency-key"
-CONTENT_LENGTH = b"content-length"
-CONTENT_TYPE = b"content-type"
-TRANSFER_ENCODING = b"transfer-encoding"
-EXPECT = b"expect"
+TENANT_ID_LIMIT = 2**33  # the protocol page: tenants are numbers below 2**33, written as 16 hex digits
+
+REQUEST_ID_HEADER = b"x-request-id"
+REQUEST_CLASS_HEADER = b"x-class"
+PLAN_HEADER = b"plan"
+DEADLINE_HEADER = b"x-deadline"
+QUOTA_INFO_HEADER = b"quota-info"
+RETRY_HEADER = b"x-retry"
+IDEMPOTENCY_KEY_HEADER = b"idempotency-key"
+CONTENT_LENGTH_HEADER = b"content-length"
+CONTENT_TYPE_HEADER = b"content-type"
+TRANSFER_ENCODING_HEADER = b"transfer-encoding"
+EXPECT_HEADER = b"expect"
 KNOWN_HEADERS = frozenset(
     (
-        REQUEST_ID,
-        REQUEST_CLASS,
-        PLAN,
-        DEADLINE,
-        QUOTA_INFO,
-        RETRY,
-        IDEMPOTENCY_KEY,
-        CONTENT_LENGTH,
-        CONTENT_TYPE,
-        TRANSFER_ENCODING,
-        EXPECT,
+        REQUEST_ID_HEADER,
+        REQUEST_CLASS_HEADER,
+        PLAN_HEADER,
+        DEADLINE_HEADER,
+        QUOTA_INFO_HEADER,
+        RETRY_HEADER,
+        IDEMPOTENCY_KEY_HEADER,
+        CONTENT_LENGTH_HEADER,
+        CONTENT_TYPE_HEADER,
+        TRANSFER_ENCODING_HEADER,
+        EXPECT_HEADER,
     )
 )
 
@@ -45,7 +45,7 @@
 _TENANT_PATTERN = re.compile(rb"[0-9a-fA-F]{16}")
 _DEADLINE_PATTERN = re.compile(rb"([0-9]{1,12}(?:\.[0-9]{1,6})?)([mu])")
 _UNITS_PATTERN = re.compile(r"[0-9]{1,9}(?:\.[0-9]{1,9})?")
-_COUNT_PATTERN = re.compile(r"[0-9]{1,6}")
+_INTEGER_PATTERN = re.compile(r"[0-9]{1,6}")
 _QUOTA_INFO_CACHE_SIZE = 1024
 
 
@@ -105,7 +105,7 @@
     @property
     def expects_continue(self) -> bool:
         """Whether the client waits for a 100 response before it sends the body (RFC 9110 section 10.1.1)."""
-        return self.headers.get(EXPECT, b"").lower() == b"100-continue"
+        return self.headers.get(EXPECT_HEADER, b"").lower() == b"100-continue"
 
     def add_body(self, data: bytes) -> None:
         """Add a piece of the body.
@@ -127,8 +127,8 @@
         Raises:
             BadRequestError: If it is not.
         """
-        content_length = self.headers.get(CONTENT_LENGTH)
-        transfer_encoding = self.headers.get(TRANSFER_ENCODING)
+        content_length = self.headers.get(CONTENT_LENGTH_HEADER)
+        transfer_encoding = self.headers.get(TRANSFER_ENCODING_HEADER)
         if self.has_repeated_header:
             raise BadRequestError("repeated header")
         if transfer_encoding is not None:
@@ -179,24 +179,24 @@
         """
         headers = request.headers
         tenant = _parse_tenant(request.path)
-        request_class = self._classes.get(headers.get(REQUEST_CLASS, b""))
-        plan_name = self._plans.get(headers.get(PLAN, b""))
+        request_class = self._classes.get(headers.get(REQUEST_CLASS_HEADER, b""))
+        plan_name = self._plans.get(headers.get(PLAN_HEADER, b""))
         if request_class is None or plan_name is None:
             raise BadRequestError("X-Class or Plan")
-        time_left_ms = _parse_deadline(headers.get(DEADLINE, b""))
-        quota_info = self.parse_quota_info(headers.get(QUOTA_INFO, b""))
+        remaining_ms = _parse_deadline(headers.get(DEADLINE_HEADER, b""))
+        quota_info = self.parse_quota_info(headers.get(QUOTA_INFO_HEADER, b""))
         return InboundRequest(
-            wire_id=headers.get(REQUEST_ID, b""),
+            wire_id=headers.get(REQUEST_ID_HEADER, b""),
             class_name=request_class.name,
             plan_name=plan_name,
             tenant=tenant,
-            time_left_ms=min(time_left_ms, request_class.deadline_ms),
+            time_left_ms=min(remaining_ms, request_class.deadline_ms),
             units=quota_info.units,
             gateway_count=quota_info.gateway_count,
             first_gateway=quota_info.first_gateway,
-            is_retry=headers.get(RETRY) == b"1",
+            is_retry=headers.get(RETRY_HEADER) == b"1",
             read_at=request.received_at_s,
-            head=_upstream_head(request, request_class),
+            head=_serialize_upstream_head(request, request_class),
             body=b"".join(request.body),
         )
 
@@ -207,8 +207,8 @@
         units, spread, first = (fields.get(name, "") for name in ("units", "spread", "first"))
         if not (
             _UNITS_PATTERN.fullmatch(units)
-            and _COUNT_PATTERN.fullmatch(spread)
-            and _COUNT_PATTERN.fullmatch(first)
+            and _INTEGER_PATTERN.fullmatch(spread)
+            and _INTEGER_PATTERN.fullmatch(first)
         ):
             raise BadRequestError("Quota-Info")
         quota_info = QuotaInfo(float(units), int(spread), int(first))
@@ -224,7 +224,7 @@
 def _parse_tenant(path: bytes) -> str:
     """Return the tenant that the last segment of the path names."""
     tenant = path.rpartition(b"/")[2]
-    if not _TENANT_PATTERN.fullmatch(tenant) or int(tenant, 16) >= TENANT_LIMIT:
+    if not _TENANT_PATTERN.fullmatch(tenant) or int(tenant, 16) >= TENANT_ID_LIMIT:
         raise BadRequestError("tenant")
     return tenant.decode().lower()
 
@@ -237,23 +237,23 @@
     return float(match[1]) / (1 if match[2] == b"m" else 1000)
 
 
-def _upstream_head(request: ParsedRequest, request_class: RequestClass) -> bytes:
+def _serialize_upstream_head(request: ParsedRequest, request_class: RequestClass) -> bytes:
     """Return the request line and headers that are forwarded, without X-Deadline and the final CRLF."""
     headers = request.headers
-    request_id = headers.get(REQUEST_ID, b"")
-    key = headers.get(IDEMPOTENCY_KEY)
+    request_id = headers.get(REQUEST_ID_HEADER, b"")
+    idempotency_key = headers.get(IDEMPOTENCY_KEY_HEADER)
     if not _IDENTIFIER_PATTERN.fullmatch(request_id):
         raise BadRequestError("X-Request-Id")
-    if key is not None and not _IDENTIFIER_PATTERN.fullmatch(key):
+    if idempotency_key is not None and not _IDENTIFIER_PATTERN.fullmatch(idempotency_key):
         raise BadRequestError("Idempotency-Key")
     _check_idempotency(request, request_class)
     parts = [request.method, b" ", request.target, b" HTTP/1.1\r\nHost: upstream\r\n"]
     parts += (b"X-Request-Id: ", request_id, b"\r\n")
-    if key is not None:
-        parts += (b"Idempotency-Key: ", key, b"\r\n")
+    if idempotency_key is not None:
+        parts += (b"Idempotency-Key: ", idempotency_key, b"\r\n")
     if request.method == b"POST":
         parts.append(b"Content-Length: %d\r\n" % request.body_bytes)
-    content_type = headers.get(CONTENT_TYPE)
+    content_type = headers.get(CONTENT_TYPE_HEADER)
     if content_type is not None:
         parts += (b"Content-Type: ", content_type, b"\r\n")
     return b"".join(parts)
@@ -266,5 +266,5 @@
         raise BadRequestError("method")
     if is_idempotent and request.body:
         raise BadRequestError("body")
-    if request_class.idempotency is Idempotency.WITH_KEY and IDEMPOTENCY_KEY not in request.headers:
+    if request_class.idempotency is Idempotency.WITH_KEY and IDEMPOTENCY_KEY_HEADER not in request.headers:
         raise BadRequestError("Idempotency-Key")
--- a/api_gateway/settings_codec.py
+++ b/api_gateway/settings_codec.py
@@ -24,13 +24,13 @@
     Attributes:
         key: The key as operators write it.
         field: The field of the model that it sets.
-        read: Converts the text of the value; raises ValueError where the form is wrong.
+        decode: Converts the text of the value; raises ValueError where the form is wrong.
         default: The value of the field where the key is missing.
     """
 
     key: str
     field: str
-    read: Callable[[str], Any]
+    decode: Callable[[str], Any]
     default: Any
 
 
@@ -48,7 +48,7 @@
     max_poll_interval_ms: float
 
 
-class _UnknownWordError(ValueError):
+class _UnknownValueError(ValueError):
     """A text that is not in the table of words of its key."""
 
 
@@ -69,15 +69,15 @@
     return value
 
 
-def _whole_number(text: str) -> int:
+def _parse_integer(text: str) -> int:
     return int(parse_number(text))
 
 
-def _limit(text: str) -> float:
+def _parse_limit(text: str) -> float:
     return parse_number(text) or math.inf
 
 
-def _flag(text: str) -> bool:
+def _parse_flag(text: str) -> bool:
     return text in ("true", "1")
 
 
@@ -85,21 +85,21 @@
     return text == "on_request"
 
 
-def _one_of(words: Mapping[str, Any], allowed: str) -> Callable[[str], Any]:
-    def read(text: str) -> Any:
-        if text not in words:
-            raise _UnknownWordError(f"{text!r} is not {allowed}")
-        return words[text]
+def _one_of(members: Mapping[str, Any], allowed: str) -> Callable[[str], Any]:
+    def decode(text: str) -> Any:
+        if text not in members:
+            raise _UnknownValueError(f"{text!r} is not {allowed}")
+        return members[text]
 
-    return read
+    return decode
 
 
-IDEMPOTENCY_WORDS = {
+IDEMPOTENCY_VALUES = {
     "safe": Idempotency.IDEMPOTENT,
     "keyed": Idempotency.WITH_KEY,
     "unsafe": Idempotency.NOT_IDEMPOTENT,
 }
-KEY_SCOPE_WORDS = {"all": KeyScope.ALL, "zone": KeyScope.ZONE, "cell": KeyScope.FAILURE_DOMAIN}
+KEY_SCOPE_VALUES = {"all": KeyScope.ALL, "zone": KeyScope.ZONE, "cell": KeyScope.FAILURE_DOMAIN}
 
 CLASSES_KEY = "grades"
 CLASS_KEYS = (
@@ -111,17 +111,17 @@
     SettingKey(
         "effect",
         "idempotency",
-        _one_of(IDEMPOTENCY_WORDS, "safe, keyed or unsafe"),
+        _one_of(IDEMPOTENCY_VALUES, "safe, keyed or unsafe"),
         Idempotency.IDEMPOTENT,
     ),
     SettingKey(
         "key_scope",
         "idempotency_key_scope",
-        _one_of(KEY_SCOPE_WORDS, "all, zone or cell"),
+        _one_of(KEY_SCOPE_VALUES, "all, zone or cell"),
         KeyScope.ALL,
     ),
     SettingKey("window_ms", "idempotency_window_ms", parse_number, 0.0),
-    SettingKey("stream", "streamed", _flag, False),
+    SettingKey("stream", "streamed", _parse_flag, False),
 )
 
 PLANS_KEY = "packages"
@@ -135,24 +135,24 @@
     SettingKey("ceiling_rate", "ceiling_rate", parse_number, 0.0),
     SettingKey("hard_burst", "ceiling_burst", parse_number, 0.0),
     SettingKey("tolerance", "ceiling_tolerance", parse_number, 0.0),
-    SettingKey("parallel", "max_concurrent_requests", _whole_number, 0),
+    SettingKey("parallel", "max_concurrent_requests", _parse_integer, 0),
 )
 
 GATEWAY_KEYS = (
-    SettingKey("me", "gateway_index", _whole_number, 0),
-    SettingKey("fleet_size", "fleet_size", _whole_number, 1),
+    SettingKey("me", "gateway_index", _parse_integer, 0),
+    SettingKey("fleet_size", "fleet_size", _parse_integer, 1),
     SettingKey("zone", "zone", str, ""),
-    SettingKey("bounds.try_limit", "max_attempts", _whole_number, 1),
-    SettingKey("bounds.second_copies", "hedging_allowed", _flag, False),
-    SettingKey("bounds.cancel", "cancellation_supported", _flag, False),
+    SettingKey("bounds.try_limit", "max_attempts", _parse_integer, 1),
+    SettingKey("bounds.second_copies", "hedging_allowed", _parse_flag, False),
+    SettingKey("bounds.cancel", "cancellation_supported", _parse_flag, False),
     SettingKey("bounds.max_retry_after_ms", "max_retry_after_ms", parse_number, 0.0),
-    SettingKey("bounds.probing", "health_checks_allowed", _flag, False),
-    SettingKey("bounds.peers", "gossip_allowed", _flag, False),
+    SettingKey("bounds.probing", "health_checks_allowed", _parse_flag, False),
+    SettingKey("bounds.peers", "gossip_allowed", _parse_flag, False),
     SettingKey("membership_mode", "discovery_by_polling", _is_polled, False),
-    SettingKey("family_info.may_count", "counter_enabled", _flag, False),
+    SettingKey("family_info.may_count", "counter_enabled", _parse_flag, False),
     SettingKey("family_info.count_wait_ms", "counter_timeout_ms", parse_number, 50.0),
-    SettingKey("family_info.most_units", "max_request_units", _limit, math.inf),
-    SettingKey("family_info.trued_up", "actual_units_reported", _flag, False),
+    SettingKey("family_info.most_units", "max_request_units", _parse_limit, math.inf),
+    SettingKey("family_info.trued_up", "actual_units_reported", _parse_flag, False),
     SettingKey("family_info.use_period_ms", "usage_report_period_ms", parse_number, 0.0),
     SettingKey("bounds.conn_idle_ms", "idle_connection_timeout_ms", parse_number, 30000.0),
     SettingKey("tick_ms", "clock_tick_ms", parse_number, 1.0),
@@ -178,7 +178,7 @@
 _FIELD_PATH = re.compile(r"(?P<group>classes|plans)(?:\[(?P<name>.*)\]\.(?P<fields>[a-z_, ]+))?")
 
 
-def flatten(settings: Mapping[str, object]) -> dict[str, str]:
+def flatten_settings(settings: Mapping[str, object]) -> dict[str, str]:
     """Convert a nested settings object to paths and the texts of their values.
 
     A list of objects gives `path.count`, `path.0.key`, `path.1.key`..., another list one text with commas.
@@ -207,24 +207,24 @@
         yield from _flatten_value(f"{path}.{index}", item)
 
 
-def decode_settings(pairs: Mapping[str, str]) -> Settings:
+def decode_settings(values_by_path: Mapping[str, str]) -> Settings:
     """Convert paths and texts to `Settings`, without checking that they make sense together.
 
     Args:
-        pairs: Texts of values by path; unknown paths are ignored.
+        values_by_path: Texts of values by path; unknown paths are ignored.
 
     Raises:
         MalformedSettingError: A value does not have the form of its type.
         InvalidSettingError: A word is not one of those that its key allows.
     """
     return Settings(
-        classes=_decode_group(pairs, "classes", RequestClass),
-        plans=_decode_group(pairs, "plans", Plan),
-        **_decode_keys(pairs, GATEWAY_KEYS),
+        classes=_decode_group(values_by_path, "classes", RequestClass),
+        plans=_decode_group(values_by_path, "plans", Plan),
+        **_decode_keys(values_by_path, GATEWAY_KEYS),
     )
 
 
-def decode_transport_settings(pairs: Mapping[str, str]) -> TransportSettings:
+def decode_transport_settings(values_by_path: Mapping[str, str]) -> TransportSettings:
     """Convert paths and texts to `TransportSettings`.
 
     Raises:
@@ -233,7 +233,7 @@
     """
     values: dict[str, Any] = {}
     for setting in TRANSPORT_KEYS:
-        values |= _decode_keys(pairs, (setting,))
+        values |= _decode_keys(values_by_path, (setting,))
         if values[setting.field] <= 0:
             raise InvalidSettingError(setting.key, "must be above 0", setting.field)
     return TransportSettings(**values)
@@ -249,10 +249,10 @@
         settings.check()
     except ValueError as error:
         field, _, problem = str(error).rpartition(": ")
-        raise InvalidSettingError(configured_key(field), problem, field) from None
+        raise InvalidSettingError(setting_key_for_field(field), problem, field) from None
 
 
-def configured_key(field: str) -> str:
+def setting_key_for_field(field: str) -> str:
     """Convert the path of a model field to the key that sets it.
 
     Args:
@@ -273,34 +273,38 @@
 
 
 def _decode_group(
-    pairs: Mapping[str, str], group: str, entry_type: Callable[..., Entry]
+    values_by_path: Mapping[str, str], group: str, entry_type: Callable[..., Entry]
 ) -> tuple[Entry, ...]:
     group_key, keys = _GROUPS[group]
-    count = SettingKey(f"{group_key}.count", "count", _whole_number, 0)
-    size = _decode_keys(pairs, (count,))["count"]
-    return tuple(entry_type(**_decode_entry(pairs, group, index, keys)) for index in range(size))
+    count_key = SettingKey(f"{group_key}.count", "count", _parse_integer, 0)
+    entry_count = _decode_keys(values_by_path, (count_key,))["count"]
+    return tuple(
+        entry_type(**_decode_entry(values_by_path, group, index, keys)) for index in range(entry_count)
+    )
 
 
 def _decode_entry(
-    pairs: Mapping[str, str], group: str, index: int, keys: tuple[SettingKey, ...]
+    values_by_path: Mapping[str, str], group: str, index: int, keys: tuple[SettingKey, ...]
 ) -> dict[str, Any]:
     group_key, _ = _GROUPS[group]
     prefix = f"{group_key}.{index}."
     try:
-        return _decode_keys(pairs, keys, prefix)
+        return _decode_keys(values_by_path, keys, prefix)
     except InvalidSettingError as error:
-        entry = f"[{pairs.get(prefix + 'name', '')}].{error.key.removeprefix(prefix)}"
-        raise InvalidSettingError(group_key + entry, error.problem, group + entry) from None
+        entry_path = f"[{values_by_path.get(prefix + 'name', '')}].{error.key.removeprefix(prefix)}"
+        raise InvalidSettingError(group_key + entry_path, error.problem, group + entry_path) from None
 
 
-def _decode_keys(pairs: Mapping[str, str], keys: tuple[SettingKey, ...], prefix: str = "") -> dict[str, Any]:
+def _decode_keys(
+    values_by_path: Mapping[str, str], keys: tuple[SettingKey, ...], prefix: str = ""
+) -> dict[str, Any]:
     values: dict[str, Any] = {}
     for setting in keys:
         key = prefix + setting.key
-        text = pairs.get(key)
+        text = values_by_path.get(key)
         try:
-            values[setting.field] = setting.default if text is None else setting.read(text)
-        except _UnknownWordError as error:
+            values[setting.field] = setting.default if text is None else setting.decode(text)
+        except _UnknownValueError as error:
             raise InvalidSettingError(key, str(error), setting.field) from None
         except ValueError as error:
             raise MalformedSettingError(key, str(error)) from None
--- a/api_gateway/shutdown.py
+++ b/api_gateway/shutdown.py
@@ -5,11 +5,12 @@
 2. After ACCEPT_AFTER_SIGNAL_S, it stops accepting once the backlog is empty, and closes idle connections.
    Both are checked every CHECK_INTERVAL_S. When no connection is left, every request has its response, and
    the shutdown is finished.
-3. If requests are still in flight after the longest deadline of a request class (MAX_DRAIN_S at most) and
-   DRAIN_MARGIN_S, they are answered as failed. A killed process could not answer them.
-4. After FLUSH_S more, in which these responses leave, the shutdown is finished in any case.
+3. If requests are still in flight after the longest deadline of a request class
+   (MAX_AWAITED_DEADLINE_S at most) and DRAIN_MARGIN_S, they are answered as failed. A killed process could
+   not answer them.
+4. After FLUSH_DELAY_S more, in which these responses leave, the shutdown is finished in any case.
 
-The process is sent SIGKILL 0.7 s after the longest deadline (MAX_DRAIN_S at most) or later.
+The process is sent SIGKILL 0.7 s after the longest deadline (MAX_AWAITED_DEADLINE_S at most) or later.
 """
 
 from __future__ import annotations
@@ -22,9 +23,9 @@
 
 ACCEPT_AFTER_SIGNAL_S = 0.5  # clients may connect for 0.4 s after the signal
 CHECK_INTERVAL_S = 0.02
-MAX_DRAIN_S = 3.0
+MAX_AWAITED_DEADLINE_S = 3.0
 DRAIN_MARGIN_S = 0.4
-FLUSH_S = 0.15
+FLUSH_DELAY_S = 0.15
 
 
 class GracefulShutdown:
@@ -58,9 +59,9 @@
 
     def _fail_pending_requests(self) -> None:
         self._dispatcher.fail_pending_requests()
-        self._loop.call_later(FLUSH_S, self.finished.set)
+        self._loop.call_later(FLUSH_DELAY_S, self.finished.set)
 
 
 def _drain_timeout_s(dispatcher: Dispatcher) -> float:
     longest_deadline_ms = max(c.deadline_ms for c in dispatcher.settings.classes)
-    return min(longest_deadline_ms / 1000, MAX_DRAIN_S) + DRAIN_MARGIN_S
+    return min(longest_deadline_ms / 1000, MAX_AWAITED_DEADLINE_S) + DRAIN_MARGIN_S
--- a/api_gateway/simulator/action_codec.py
+++ b/api_gateway/simulator/action_codec.py
@@ -50,7 +50,7 @@
     return f"NOTE_DOWN {instance} {' '.join(action.text.split())}"
 
 
-WRITERS: dict[type, Callable[[str, Any], str]] = {
+ACTION_ENCODERS: dict[type, Callable[[str, Any], str]] = {
     StartAttempt: _encode_start_attempt,
     RejectRequest: _encode_reject_request,
     FailRequest: _encode_fail_request,
@@ -68,10 +68,10 @@
     Raises:
         TypeError: The object is not an action.
     """
-    writer = WRITERS.get(type(action))
-    if writer is None:
+    encoder = ACTION_ENCODERS.get(type(action))
+    if encoder is None:
         raise TypeError(f"not an action: {action!r}")
-    return writer(instance, action)
+    return encoder(instance, action)
 
 
 def encode_failure(instance: str, error_name: str, text: str) -> str:
--- a/api_gateway/simulator/adapter.py
+++ b/api_gateway/simulator/adapter.py
@@ -18,7 +18,7 @@
 from api_gateway.simulator.action_codec import encode_action, encode_failure
 
 BATCH_END = ["END"]
-BATCH_REPLY_END = "OK"
+BATCH_RESPONSE_END = "OK"
 CATALOG = "CATALOG"
 
 EXIT_OK = 0
@@ -49,8 +49,8 @@
         while (parts := self._read_line()) is not None:
             if parts == [""]:
                 continue
-            reply = self._handle_batch(codec.decode_batch_header(parts))
-            self._output.write("".join(line + "\n" for line in reply))
+            response_lines = self._handle_batch(codec.decode_batch_header(parts))
+            self._output.write("".join(line + "\n" for line in response_lines))
             self._output.flush()
 
     def _read_line(self) -> list[str] | None:
@@ -63,19 +63,19 @@
         return line.rstrip("\r\n").split(" ")
 
     def _handle_batch(self, now_ms: float) -> list[str]:
-        reply: list[str] = []
+        response_lines: list[str] = []
         while (parts := self._read_line()) != BATCH_END:
             if parts is None:
                 raise MalformedLineError("input ended inside a batch")
             if parts[0] == CATALOG:
                 self._read_catalog(codec.decode_catalog_header(parts))
             else:
-                reply.extend(self._handle_message(now_ms, parts))
-        return [*reply, BATCH_REPLY_END]
+                response_lines.extend(self._handle_message(now_ms, parts))
+        return [*response_lines, BATCH_RESPONSE_END]
 
     def _read_catalog(self, header: codec.CatalogHeader) -> None:
         endpoints = []
-        for _ in range(header.size):
+        for _ in range(header.entry_count):
             parts = self._read_line()
             if parts is None:
                 raise MalformedLineError("input ended inside a list")
@@ -88,22 +88,22 @@
         except InvalidSettingError as error:
             return [encode_failure(parts[1], ValueError.__name__, f"{error.field}: {error.problem}")]
         if isinstance(message, codec.CatalogUpdate):
-            message = self._resolve(message)
+            message = self._resolve_catalog(message)
         instance = parts[1]
         try:
-            return self._deliver(now_ms, instance, message)
+            return self._dispatch(now_ms, instance, message)
         except Exception as error:  # any failure of the decisions concerns this instance alone
             text = " ".join(str(error).split())
             return [encode_failure(instance, type(error).__name__, text)]
 
-    def _resolve(self, update: codec.CatalogUpdate) -> EndpointUpdate:
+    def _resolve_catalog(self, update: codec.CatalogUpdate) -> EndpointUpdate:
         if update.catalog is None:
             return EndpointUpdate(update.kind)
         if update.catalog not in self._catalogs:
             raise MalformedLineError(f"no list number {update.catalog}")
         return EndpointUpdate(update.kind, self._catalogs[update.catalog])
 
-    def _deliver(
+    def _dispatch(
         self, now_ms: float, instance: str, message: Event | codec.OpenInstance | codec.CloseInstance
     ) -> list[str]:
         if isinstance(message, codec.OpenInstance):
--- a/api_gateway/simulator/codec.py
+++ b/api_gateway/simulator/codec.py
@@ -29,11 +29,11 @@
     COUNTER_RESULTS,
     ENDPOINT_STATUSES,
     UPDATE_KINDS,
+    decode_enum,
     decode_flag,
     decode_integer,
     decode_load_report,
     decode_number,
-    decode_word,
 )
 
 RETRY_FLAG = 2  # bit of a request's flags
@@ -72,11 +72,11 @@
 
     Attributes:
         number: Number by which updates refer to the catalog.
-        size: Count of the lines that follow, one for each endpoint.
+        entry_count: Count of the lines that follow, one for each endpoint.
     """
 
     number: int
-    size: int
+    entry_count: int
 
 
 Message = Event | OpenInstance | CloseInstance | CatalogUpdate
@@ -86,35 +86,37 @@
 
 
 def _decode_setting_pairs(pairs: list[str]) -> Settings:
-    texts: dict[str, str] = {}
+    values_by_path: dict[str, str] = {}
     for pair in pairs:
         key, equals, text = pair.partition("=")
         if not equals:
             raise MalformedLineError(f"bad setting {pair!r}")
-        texts[key] = text
+        values_by_path[key] = text
     try:
-        return decode_settings(texts)
+        return decode_settings(values_by_path)
     except MalformedSettingError as error:
         raise MalformedLineError(str(error)) from None
 
 
-def _decode_open(values: list[str]) -> OpenInstance:
+def _decode_open_instance(values: list[str]) -> OpenInstance:
     seed, *pairs = values
     return OpenInstance(decode_integer(seed), _decode_setting_pairs(pairs))
 
 
-def _decode_close(values: list[str]) -> CloseInstance:
+def _decode_close_instance(values: list[str]) -> CloseInstance:
     return CloseInstance()
 
 
-def _decode_request(values: list[str]) -> RequestReceived:
-    request_id, class_name, plan_name, tenant, time_left, units, gateway_count, first_gateway, flags = values
+def _decode_request_received(values: list[str]) -> RequestReceived:
+    request_id, class_name, plan_name, tenant, remaining_time, units, gateway_count, first_gateway, flags = (
+        values
+    )
     return RequestReceived(
         request_id=request_id,
         class_name=class_name,
         plan_name=plan_name,
         tenant=tenant,
-        time_left_ms=decode_number(time_left),
+        time_left_ms=decode_number(remaining_time),
         units=decode_number(units),
         gateway_count=decode_integer(gateway_count),
         first_gateway=decode_integer(first_gateway),
@@ -128,7 +130,7 @@
         request_id=request_id,
         attempt=decode_integer(attempt),
         endpoint=endpoint,
-        result=decode_word(ATTEMPT_RESULTS, result),
+        result=decode_enum(ATTEMPT_RESULTS, result),
         duration_ms=decode_number(duration),
         is_final=decode_flag(is_final),
         metered_usage_percent=decode_number(usage),
@@ -151,11 +153,11 @@
 
 
 def _decode_counter_reply(values: list[str]) -> CounterReply:
-    total, result, duration, name = values
+    counter_value, result, duration, name = values
     return CounterReply(
         name=name,
-        result=decode_word(COUNTER_RESULTS, result),
-        total=decode_number(total),
+        result=decode_enum(COUNTER_RESULTS, result),
+        total=decode_number(counter_value),
         duration_ms=decode_number(duration),
     )
 
@@ -164,13 +166,13 @@
     duration, endpoint, result, load_report = values
     return HealthCheckEnded(
         endpoint=endpoint,
-        result=decode_word(ATTEMPT_RESULTS, result),
+        result=decode_enum(ATTEMPT_RESULTS, result),
         duration_ms=decode_number(duration),
         load_report=decode_load_report(load_report),
     )
 
 
-def _decode_gossip(values: list[str]) -> GossipReceived:
+def _decode_gossip_received(values: list[str]) -> GossipReceived:
     sender, payload = values
     try:
         return GossipReceived(decode_integer(sender), bytes.fromhex("" if payload == "-" else payload))
@@ -179,29 +181,29 @@
 
 
 def _decode_catalog_update(values: list[str]) -> CatalogUpdate:
-    kind_word, version, catalog = values
-    kind = decode_word(UPDATE_KINDS, kind_word)
+    kind_text, version, catalog = values
+    kind = decode_enum(UPDATE_KINDS, kind_text)
     decode_integer(version)
     return CatalogUpdate(kind, None if kind is UpdateKind.FAILED else decode_integer(catalog))
 
 
-class _Reader(NamedTuple):
+class _MessageDecoder(NamedTuple):
     decode: Callable[[list[str]], Message]
     value_count: int | None  # None: any number above 0
 
 
-READERS: dict[str, _Reader] = {
-    "OPEN_INSTANCE": _Reader(_decode_open, None),
-    "DETACH": _Reader(_decode_close, 0),
-    "DIRECTORY_UPDATE": _Reader(_decode_catalog_update, 3),
-    "REQ": _Reader(_decode_request, 9),
-    "ENDED": _Reader(_decode_attempt_ended, 9),
-    "HEAD_RECEIVED": _Reader(_decode_response_started, 4),
-    "CLIENT_LEFT": _Reader(_decode_client_disconnected, 1),
-    "TICK_DUE": _Reader(_decode_timer_fired, 1),
-    "COUNTER_REPLY": _Reader(_decode_counter_reply, 4),
-    "PROBE_DONE": _Reader(_decode_health_check_ended, 4),
-    "INBOX": _Reader(_decode_gossip, 2),
+MESSAGE_DECODERS: dict[str, _MessageDecoder] = {
+    "OPEN_INSTANCE": _MessageDecoder(_decode_open_instance, None),
+    "DETACH": _MessageDecoder(_decode_close_instance, 0),
+    "DIRECTORY_UPDATE": _MessageDecoder(_decode_catalog_update, 3),
+    "REQ": _MessageDecoder(_decode_request_received, 9),
+    "ENDED": _MessageDecoder(_decode_attempt_ended, 9),
+    "HEAD_RECEIVED": _MessageDecoder(_decode_response_started, 4),
+    "CLIENT_LEFT": _MessageDecoder(_decode_client_disconnected, 1),
+    "TICK_DUE": _MessageDecoder(_decode_timer_fired, 1),
+    "COUNTER_REPLY": _MessageDecoder(_decode_counter_reply, 4),
+    "PROBE_DONE": _MessageDecoder(_decode_health_check_ended, 4),
+    "INBOX": _MessageDecoder(_decode_gossip_received, 2),
 }
 
 
@@ -216,13 +218,13 @@
         InvalidSettingError: A setting of a new instance has a word that is not allowed.
     """
     name, values = parts[0], parts[2:]
-    reader = READERS.get(name)
-    if reader is None:
+    decoder = MESSAGE_DECODERS.get(name)
+    if decoder is None:
         raise MalformedLineError(f"unknown message {name!r}")
-    complete = bool(values) if reader.value_count is None else len(values) == reader.value_count
-    if len(parts) < 2 or not complete:
+    is_complete = bool(values) if decoder.value_count is None else len(values) == decoder.value_count
+    if len(parts) < 2 or not is_complete:
         raise MalformedLineError(f"{name}: wrong number of values")
-    return reader.decode(values)
+    return decoder.decode(values)
 
 
 # --- Lines without an instance -----------------------------------------------------------------------------
@@ -247,7 +249,7 @@
     """
     if len(parts) != 3:
         raise MalformedLineError("CATALOG: wrong number of values")
-    return CatalogHeader(number=decode_integer(parts[1]), size=decode_integer(parts[2]))
+    return CatalogHeader(number=decode_integer(parts[1]), entry_count=decode_integer(parts[2]))
 
 
 def decode_endpoint(parts: list[str]) -> Endpoint:
--- a/api_gateway/simulator/values.py
+++ b/api_gateway/simulator/values.py
@@ -82,15 +82,15 @@
     return text == "1"
 
 
-def decode_word(words: Mapping[str, Value], text: str) -> Value:
+def decode_enum(members: Mapping[str, Value], text: str) -> Value:
     """Return the value that a word stands for.
 
     Raises:
         MalformedLineError: The word is not in the table.
     """
-    if text not in words:
+    if text not in members:
         raise MalformedLineError(f"unknown word {text!r}")
-    return words[text]
+    return members[text]
 
 
 def decode_load_report(text: str) -> dict[str, float]:
--- a/testbed/worker.py
+++ b/testbed/worker.py
@@ -14,7 +14,7 @@
 import msgspec
 import uvloop
 
-from api_gateway.configuration import parse
+from api_gateway.configuration import parse_configuration
 from testbed.counter_server import CounterServer
 from testbed.discovery_server import LIFECYCLE_GONE, DiscoveryServer
 from testbed.endpoint_server import EndpointServer
@@ -169,7 +169,7 @@
     def __init__(self, config: SimulatedGatewaysConfig) -> None:
         indexes = range(config.first_index, config.first_index + config.count)
         self._fleet = SimulatedFleet(
-            [parse(gateway_configuration(config.fleet, index)) for index in indexes],
+            [parse_configuration(gateway_configuration(config.fleet, index)) for index in indexes],
             tenants=config.tenants,
             requests_per_s=config.requests_per_s,
             traffic_share_shape=config.traffic_share_shape,
--- a/tests/support/dispatcher_driver.py
+++ b/tests/support/dispatcher_driver.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from api_gateway.configuration import parse
+from api_gateway.configuration import parse_configuration
 from api_gateway.model.actions import Action, FailRequest, RejectRequest, StartAttempt
 from api_gateway.model.endpoints import UpdateKind
 from api_gateway.model.events import AttemptEnded, Event, RequestReceived
@@ -97,7 +97,7 @@
     """Start an endpoint, and a dispatcher that knows it as `ENDPOINT`; discovery is not asked."""
     monkeypatch.setattr(dispatcher_module, "Gateway", ScriptedDecisions)
     await endpoint.start()
-    configuration = parse(
+    configuration = parse_configuration(
         {
             "listen": f"{LOOPBACK}:0",
             "discovery": f"{LOOPBACK}:{endpoint.port}",
--- a/tests/support/program.py
+++ b/tests/support/program.py
@@ -34,7 +34,7 @@
 
     Attributes:
         endpoints: The upstream endpoints, one for each responder; discovery names them s-0, s-1...
-        totals: Totals of the counter by name.
+        counter_values: Totals of the counter by name.
         counter: The counter service.
         discovery: The discovery service.
         process: The program.
@@ -45,27 +45,27 @@
 
     def __init__(
         self,
-        folder: Path,
+        directory: Path,
         *responders: Responder,
-        polls_discovery: bool = False,
+        discovery_by_polling: bool = False,
         fleet_size: int = 1,
         **limits: int,
     ) -> None:
         """Describe the program; it starts with the context.
 
         Args:
-            folder: Where its configuration file is written.
+            directory: Where its configuration file is written.
             responders: One for each endpoint.
-            polls_discovery: Whether discovery sends the endpoint list on request only.
+            discovery_by_polling: Whether discovery sends the endpoint list on request only.
             fleet_size: Number of gateways, of which the program is the first.
             limits: Entries of the configuration's `limits`.
         """
-        self.folder = folder
+        self.directory = directory
         self.limits = limits
-        self.polls_discovery = polls_discovery
+        self.discovery_by_polling = discovery_by_polling
         self.fleet_size = fleet_size
         self.endpoints = [FakeServer(responder) for responder in responders]
-        self.totals: dict[str, float] = {}
+        self.counter_values: dict[str, float] = {}
         self.counter = self._new_counter()
         self.process: asyncio.subprocess.Process | None = None
         self.port = 0
@@ -84,7 +84,7 @@
         return self
 
     def _new_counter(self) -> FakeServer:
-        return FakeServer(lambda request: counter_response(request, self.totals))
+        return FakeServer(lambda request: counter_response(request, self.counter_values))
 
     def write_configuration(self) -> Path:
         """Write the file that the program reads at its start and on SIGHUP; return its path."""
@@ -103,7 +103,7 @@
                 "me": 0,
                 "zone": "a",
                 "tick_ms": 4.0,
-                "membership_mode": "on_request" if self.polls_discovery else "pushed",
+                "membership_mode": "on_request" if self.discovery_by_polling else "pushed",
                 "bounds": {
                     "try_limit": 3,
                     "cancel": True,
@@ -115,7 +115,7 @@
                 "family_info": {"may_count": True, "count_wait_ms": 30.0, "trued_up": True, "most_units": 4},
             },
         }
-        path = self.folder / "config.json"
+        path = self.directory / "config.json"
         path.write_text(json.dumps(configuration))
         return path
 
--- a/tests/test_acceptance_descriptors.py
+++ b/tests/test_acceptance_descriptors.py
@@ -17,11 +17,11 @@
     ConfigurationError,
     max_downstream_connections,
     max_upstream_connections,
-    parse,
+    parse_configuration,
 )
 
 
-def serve(seen: object) -> bytes:
+def serve(request: object) -> bytes:
     return response_bytes(b"served")
 
 
@@ -45,7 +45,7 @@
         number += 1
 
 
-async def until_descriptors_are_held(program: RunningProgram, count: int) -> None:
+async def wait_for_descriptors(program: RunningProgram, count: int) -> None:
     """Wait until the program holds a number of descriptors."""
     while len(os.listdir(f"/proc/{program.process.pid}/fd")) < count:
         await asyncio.sleep(0.01)
@@ -67,13 +67,13 @@
                     writer.transport.abort()
             clients = [asyncio.create_task(hold_idle_connection(program)) for _ in range(2 * sockets)]
             held = max_downstream_connections(sockets) + 10
-            await until_descriptors_are_held(program, held)
+            await wait_for_descriptors(program, held)
             await send_until_served(program, 0x100)
             for fake in fakes:
                 opened = fake.opened
                 fake.asyncio_server = await asyncio.start_server(fake._serve, LOOPBACK, fake.port)
                 await fake.wait_until(lambda fake, opened=opened: fake.opened > opened)
-                await until_descriptors_are_held(program, held)
+                await wait_for_descriptors(program, held)
             await send_until_served(program, 0x10000)
             assert not [line for line in program.log if "accept_failed" in line or "Too many open" in line]
             for client in clients:
@@ -82,7 +82,7 @@
     run_scenario(scenario, 30)
 
 
-def test_all_shares_of_the_descriptors_together_stay_within_the_limit(tmp_path: Path) -> None:
+def test_descriptors_of_all_kinds_together_stay_within_the_limit(tmp_path: Path) -> None:
     """What is held beside clients and endpoints is measured on the program.
 
     To it come the connections to counter and discovery (4 + 1), which a reload holds twice, and one client
@@ -92,15 +92,15 @@
     async def scenario() -> None:
         async with RunningProgram(tmp_path, serve, sockets=MIN_DESCRIPTORS) as program:
             await program.counter.wait_until(lambda fake: fake.opened == 4)
-            own = MIN_DESCRIPTORS
+            own_descriptors = MIN_DESCRIPTORS
             for _ in range(30):  # until the connection of the readiness check is gone
-                own = min(own, len(os.listdir(f"/proc/{program.process.pid}/fd")))
+                own_descriptors = min(own_descriptors, len(os.listdir(f"/proc/{program.process.pid}/fd")))
                 await asyncio.sleep(0.01)
             for sockets in (MIN_DESCRIPTORS, 200, 256, 576, 1024):
                 assert (
                     max_downstream_connections(sockets)
                     + max_upstream_connections(sockets)
-                    + own
+                    + own_descriptors
                     + (4 + 1)
                     + 1
                     <= sockets
@@ -112,7 +112,7 @@
 def test_system_limit_below_the_minimum_is_a_configuration_error(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(resource, "getrlimit", lambda which: (64, 64))
     with pytest.raises(ConfigurationError, match="the system allows 64 descriptors, 128 are needed"):
-        parse(
+        parse_configuration(
             {
                 "listen": f"{LOOPBACK}:1",
                 "discovery": f"{LOOPBACK}:2",
--- a/tests/test_acceptance_idempotency_window.py
+++ b/tests/test_acceptance_idempotency_window.py
@@ -29,11 +29,11 @@
 from api_gateway.network.upstream.pool import ConnectionPool
 
 
-def serve(seen: object) -> bytes:
+def serve(request: object) -> bytes:
     return response_bytes(b"served")
 
 
-def test_retry_carries_what_is_left_of_the_window() -> None:
+def test_retry_carries_the_remaining_window() -> None:
     """The window runs from the first attempt that may have run; one that never ran does not start it."""
     driver = GatewayDriver()
     request_id, actions = driver.ask("put")
@@ -71,7 +71,7 @@
     run_scenario(scenario, 3)
 
 
-def test_pending_connect_ends_with_the_window_and_its_request_is_answered_then(
+def test_pending_connect_ends_with_the_window_and_its_request_gets_a_response(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
@@ -126,7 +126,7 @@
 
 
 @pytest.mark.parametrize("reason", ["client disconnected", "window over", "request answered"])
-def test_attempt_with_unsent_bytes_ends_when_its_reason_has_gone(
+def test_attempt_with_unsent_bytes_is_withdrawn_when_it_is_no_longer_needed(
     monkeypatch: pytest.MonkeyPatch, reason: str
 ) -> None:
     """Its last byte would make the endpoint run it long after; no cancel action is needed."""
@@ -152,7 +152,9 @@
     run_scenario(scenario, 3)  # less than the deadline, which would end it, too
 
 
-def test_deadline_told_to_an_endpoint_is_the_time_left_at_the_write(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_deadline_sent_to_an_endpoint_is_the_time_remaining_at_the_write(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def scenario() -> None:
         fake = FakeServer(serve)
         request = await submit_with_held_connect(monkeypatch, fake, then=None, timeout_ms=2000)
@@ -185,7 +187,7 @@
     run_scenario(scenario, 3)
 
 
-def test_budget_left_by_an_earlier_process_is_not_passed_on() -> None:
+def test_slow_start_budget_of_an_earlier_process_is_not_inherited() -> None:
     driver = GatewayDriver()
     state = driver.gateway.endpoints["h0"]
     state.slow_start_budget = 5.0
--- a/tests/test_acceptance_restart.py
+++ b/tests/test_acceptance_restart.py
@@ -22,7 +22,7 @@
 
     async def scenario() -> None:
         async with RunningProgram(
-            tmp_path, lambda request: response_bytes(b"served"), polls_discovery=polled, fleet_size=200
+            tmp_path, lambda request: response_bytes(b"served"), discovery_by_polling=polled, fleet_size=200
         ) as program:
             program.cached_list = {"generation": 1, "reset": True, "instances": program.discovery.instances}
             program.process.kill()
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -7,10 +7,15 @@
 
 import pytest
 
-from api_gateway.configuration import MIN_DESCRIPTORS, load, max_upstream_connections, parse
+from api_gateway.configuration import (
+    MIN_DESCRIPTORS,
+    load_configuration,
+    max_upstream_connections,
+    parse_configuration,
+)
 from api_gateway.errors import ConfigurationError, GatewayError
 
-RAW = {
+RAW_CONFIGURATION = {
     "listen": "127.0.0.1:1",
     "discovery": "127.0.0.1:2",
     "seed": "1",
@@ -40,9 +45,9 @@
         ({"rules": {"must_ask_in_ms": "x"}}, "settings: rules.must_ask_in_ms: bad number 'x'"),
     ],
 )
-def test_configuration_error_names_the_key(changes: dict[str, object], text: str) -> None:
+def test_settings_error_names_the_key(changes: dict[str, object], text: str) -> None:
     with pytest.raises(ConfigurationError) as caught:
-        parse({**RAW, "settings": settings_object(**changes)})
+        parse_configuration({**RAW_CONFIGURATION, "settings": settings_object(**changes)})
     assert str(caught.value) == text
 
 
@@ -64,32 +69,40 @@
         ),
     ],
 )
-def test_error_names_the_key_at_the_top(changes: dict[str, object], text: str) -> None:
+def test_error_names_the_top_level_key(changes: dict[str, object], text: str) -> None:
     with pytest.raises(ConfigurationError) as caught:
-        parse({**RAW, "settings": settings_object(), **changes})
+        parse_configuration({**RAW_CONFIGURATION, "settings": settings_object(), **changes})
     assert str(caught.value) == text
     assert isinstance(caught.value, GatewayError)
 
 
-def test_defaults() -> None:
-    config = parse({**RAW, "settings": settings_object()})
-    assert (config.name, config.counter, config.cached_endpoints.endpoints) == ("", None, ())
-    assert (config.connect_timeout_ms, config.idle_timeout_ms) == (250.0, 15000.0)
-    assert config.max_poll_interval_ms == 10000.0
+def test_missing_keys_get_their_defaults() -> None:
+    configuration = parse_configuration({**RAW_CONFIGURATION, "settings": settings_object()})
+    assert (configuration.name, configuration.counter, configuration.cached_endpoints.endpoints) == (
+        "",
+        None,
+        (),
+    )
+    assert (configuration.connect_timeout_ms, configuration.idle_timeout_ms) == (250.0, 15000.0)
+    assert configuration.max_poll_interval_ms == 10000.0
 
 
 def test_environment_takes_precedence_except_for_discovery_on_reload(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps({**RAW, "settings": settings_object()}))
+    path.write_text(json.dumps({**RAW_CONFIGURATION, "settings": settings_object()}))
     environment = {
         "ROUTER_CONFIG": str(path),
         "ROUTER_NAME": "n1",
         "ROUTER_LISTEN": "[::1]:3",
         "ROUTER_DISCOVERY": "127.0.0.1:4",
     }
-    config = load(environment)
-    assert (config.name, config.listen, config.discovery) == ("n1", ("::1", 3), ("127.0.0.1", 4))
-    reloaded = load(environment, is_reload=True)
+    configuration = load_configuration(environment)
+    assert (configuration.name, configuration.listen, configuration.discovery) == (
+        "n1",
+        ("::1", 3),
+        ("127.0.0.1", 4),
+    )
+    reloaded = load_configuration(environment, is_reload=True)
     assert (reloaded.listen, reloaded.discovery) == (("::1", 3), ("127.0.0.1", 2))
 
 
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -18,7 +18,7 @@
 )
 from support.program import run_scenario
 
-from api_gateway.configuration import parse
+from api_gateway.configuration import parse_configuration
 from api_gateway.model.actions import IncrementCounter
 from api_gateway.model.events import CounterReply
 from api_gateway.model.results import CounterResult
@@ -88,7 +88,7 @@
     async def scenario() -> None:
         fake = FakeServer(lambda request: None)
         await fake.start()
-        config = parse(
+        config = parse_configuration(
             {
                 "listen": f"{LOOPBACK}:0",
                 "discovery": f"{LOOPBACK}:{fake.port}",
--- a/tests/test_deploy_file.py
+++ b/tests/test_deploy_file.py
@@ -7,7 +7,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_deploy_file_is_as_agreed() -> None:
+def test_deploy_file_lists_the_policy_modules_and_the_simulator_command() -> None:
     text = (ROOT / "deploy" / "balancer.toml").read_text()
     modules = (
         "admission",
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -272,7 +272,7 @@
             "rules": {"must_ask_in_ms": 10000.0},
         },
     }
-    config = configuration.parse(raw)
+    config = configuration.parse_configuration(raw)
     settings = dataclasses.replace(config.settings, discovery_by_polling=discovery_by_polling)
     policy = PollPolicy.for_settings(settings, config.max_poll_interval_ms)
     assert policy.spread_s == pytest.approx(spread_s)
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -17,7 +17,7 @@
 
 from api_gateway.network.dispatcher import InboundRequest
 from api_gateway.network.downstream.connection import IDLE_TIMEOUT_S, DownstreamConnection
-from api_gateway.network.downstream.listener import MAX_ACCEPTS_PER_TURN, Listener
+from api_gateway.network.downstream.listener import MAX_ACCEPTS_PER_ITERATION, Listener
 
 
 class FakeDispatcher:
@@ -49,9 +49,9 @@
 class RunningListener:
     """A listener in this process, and clients whose calls give its loop no turn."""
 
-    def __init__(self, descriptor_limit: int = 1024) -> None:
+    def __init__(self, max_descriptors: int = 1024) -> None:
         self.dispatcher = FakeDispatcher()
-        self.listener = Listener(self.dispatcher, asyncio.get_running_loop(), descriptor_limit)
+        self.listener = Listener(self.dispatcher, asyncio.get_running_loop(), max_descriptors)
         self.address = self.listener.start((LOOPBACK, 0))
 
     def connect(self, data: bytes = b"") -> socket.socket:
@@ -94,7 +94,7 @@
 @async_test(limit_s=5)
 async def test_backlog_is_served_before_the_listener_closes() -> None:
     running = RunningListener()
-    clients = [running.connect_and_request(b"id-%d" % i) for i in range(2 * MAX_ACCEPTS_PER_TURN + 3)]
+    clients = [running.connect_and_request(b"id-%d" % i) for i in range(2 * MAX_ACCEPTS_PER_ITERATION + 3)]
     assert running.listener.stop_accepting()  # the loop has had no turn: none is accepted yet
     for client in clients:
         assert await running.is_served(client)
@@ -104,7 +104,7 @@
 
 @async_test(limit_s=5)
 async def test_listener_stays_open_until_there_is_capacity_for_its_backlog() -> None:
-    running = RunningListener(descriptor_limit=4)  # two clients
+    running = RunningListener(max_descriptors=4)  # two clients
     clients = [running.connect_and_request(b"id-%d" % i) for i in range(4)]
     assert not running.listener.stop_accepting()
     while not running.listener.stop_accepting():
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -39,7 +39,7 @@
     assert capsys.readouterr().err == ""
 
 
-def test_lines_of_the_life_cycle_are_never_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_lifecycle_lines_are_never_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(logs.time, "monotonic", lambda: 100.0)
     rate_limit = logs.RateLimitFilter()
     for _ in range(logs.MAX_LINES_PER_S + 3):
--- a/tests/test_program_control.py
+++ b/tests/test_program_control.py
@@ -38,7 +38,7 @@
 def test_bad_configuration_exits_with_one_line(tmp_path: Path, raw: str, field: str) -> None:
     path = tmp_path / "config.json"
     path.write_text(raw)
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "api_gateway"],
         cwd=ROOT,
         capture_output=True,
@@ -46,9 +46,9 @@
         check=False,
         env={**os.environ, "ROUTER_CONFIG": str(path)},
     )
-    assert done.returncode == 2
-    assert len(done.stderr.splitlines()) == 1
-    assert field in done.stderr
+    assert completed.returncode == 2
+    assert len(completed.stderr.splitlines()) == 1
+    assert field in completed.stderr
 
 
 @async_test()
@@ -186,7 +186,9 @@
 
 
 @async_test()
-async def test_drain_is_noticed_in_time_though_the_long_poll_goes_silent(tmp_path: Path) -> None:
+async def test_draining_endpoint_is_noticed_in_time_when_the_long_poll_gets_no_response(
+    tmp_path: Path,
+) -> None:
     async with RunningProgram(tmp_path, serve_as(b"leaving"), serve_as(b"staying")) as program:
         discovery, server = program.discovery, program.discovery.server
         await server.wait_until(lambda server: bool(discovery.pending_polls))
@@ -285,7 +287,7 @@
         program.counter.respond = respond
         assert (await program.request(request_bytes(request_id=b"first", plan="quick"))).body == b"served"
         await program.counter.wait_until(lambda server: bool(malformed))
-        program.counter.respond = lambda request: counter_response(request, program.totals)
+        program.counter.respond = lambda request: counter_response(request, program.counter_values)
         assert (await program.request(request_bytes(request_id=b"second", plan="quick"))).body == b"served"
         while sum("counter_response_malformed" in line for line in program.log) < len(malformed):
             await asyncio.sleep(0.01)
@@ -316,7 +318,11 @@
     """One call in three is reset, the others are answered: the counter does not count as silent."""
 
     def respond(request: ReceivedMessage) -> bytes:
-        return b"" if len(program.counter.received) % 3 == 0 else counter_response(request, program.totals)
+        return (
+            b""
+            if len(program.counter.received) % 3 == 0
+            else counter_response(request, program.counter_values)
+        )
 
     async with RunningProgram(tmp_path, serve) as program:
         program.counter.respond = respond
@@ -328,14 +334,14 @@
         assert not any("failed" in line for line in program.log)
 
 
-@pytest.mark.parametrize("figure", [b"1_0", b"-1", b"5", b"1e9", b"nan", b"", b"9" * 400])
+@pytest.mark.parametrize("billed_units", [b"1_0", b"-1", b"5", b"1e9", b"nan", b"", b"9" * 400])
 @async_test()
-async def test_billed_units_out_of_range_are_ignored(tmp_path: Path, figure: bytes) -> None:
+async def test_billed_units_out_of_range_are_ignored(tmp_path: Path, billed_units: bytes) -> None:
     """Above `most_units`, 4, the estimate of 2 stays."""
     async with RunningProgram(
-        tmp_path, lambda request: response_bytes(b"ok", headers=b"Billed-Units: %b\r\n" % figure)
+        tmp_path, lambda request: response_bytes(b"ok", headers=b"Billed-Units: %b\r\n" % billed_units)
     ) as program:
         for i in range(30):
             assert await program.request_status(request_bytes(request_id=b"id-%d" % i)) == 200
-        await program.counter.wait_until(lambda server: sum(program.totals.values()) > 0)
-        assert sum(program.totals.values()) <= 60
+        await program.counter.wait_until(lambda server: sum(program.counter_values.values()) > 0)
+        assert sum(program.counter_values.values()) <= 60
--- a/tests/test_program_downstream.py
+++ b/tests/test_program_downstream.py
@@ -12,7 +12,7 @@
 
 
 @async_test()
-async def test_pipelined_requests_are_answered_in_order(tmp_path: Path) -> None:
+async def test_pipelined_requests_get_their_responses_in_order(tmp_path: Path) -> None:
     async with RunningProgram(
         tmp_path, lambda request: response_bytes(request.headers["x-request-id"].encode())
     ) as program:
@@ -94,7 +94,7 @@
         assert await reader.read() == b""
 
 
-SMUGGLED = b"0\r\n\r\n" + request_bytes(request_id=b"smuggled")
+SMUGGLED_BODY = b"0\r\n\r\n" + request_bytes(request_id=b"smuggled")
 
 
 @pytest.mark.parametrize(
@@ -115,10 +115,10 @@
 async def test_ambiguous_framing_is_rejected(tmp_path: Path, lines: str) -> None:
     async with RunningProgram(tmp_path, serve) as program:
         reader, writer = await program.connect()
-        extra_headers = lines.replace("%d", str(len(SMUGGLED)))
+        extra_headers = lines.replace("%d", str(len(SMUGGLED_BODY)))
         writer.write(
             request_bytes("put", method="POST", without_header="Content-Length", extra_headers=extra_headers)
-            + SMUGGLED
+            + SMUGGLED_BODY
         )
         assert b"HTTP/1.1 400" in (await reader.read())
         assert "smuggled" not in program.endpoints[0].received_ids()
--- a/tests/test_program_upstream.py
+++ b/tests/test_program_upstream.py
@@ -36,7 +36,7 @@
         assert request.headers["idempotency-key"] == "5c0f6e1a"
         assert 0 < int(request.headers["x-deadline"].removesuffix("m")) <= 6000
         # The counter receives the estimated units, then the billed units beyond the estimate.
-        await program.counter.wait_until(lambda server: sum(program.totals.values()) >= 2)
+        await program.counter.wait_until(lambda server: sum(program.counter_values.values()) >= 2)
 
 
 @async_test(limit_s=5)  # less than one deadline of 6 s
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -13,8 +13,8 @@
 def test_readme_example_runs() -> None:
     code = re.search(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S)
     assert code
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", code[1]], capture_output=True, text=True, cwd=ROOT, check=False
     )
-    assert done.returncode == 0, done.stderr
-    assert done.stdout.splitlines()[-1] == "served by 10.0.0.1:80"
+    assert completed.returncode == 0, completed.stderr
+    assert completed.stdout.splitlines()[-1] == "served by 10.0.0.1:80"
--- a/tests/test_request_parsing.py
+++ b/tests/test_request_parsing.py
@@ -96,7 +96,7 @@
         parsed_request(b"pay", b"POST", plan=None),
     ],
 )
-def test_request_that_breaks_the_protocol_is_rejected(request_: ParsedRequest) -> None:
+def test_invalid_request_is_rejected(request_: ParsedRequest) -> None:
     with pytest.raises(BadRequestError) as raised:
         validate(request_)
     assert raised.value.status == 400
--- a/tests/test_settings_codec.py
+++ b/tests/test_settings_codec.py
@@ -12,10 +12,10 @@
     CLASS_KEYS,
     GATEWAY_KEYS,
     PLAN_KEYS,
-    configured_key,
     decode_settings,
     decode_transport_settings,
-    flatten,
+    flatten_settings,
+    setting_key_for_field,
 )
 
 
@@ -34,7 +34,7 @@
 
 def test_nested_object_is_flattened_to_paths() -> None:
     nested = {"zones": ["a", "b"], "grades": [{"name": "x"}], "bounds": {"cancel": True, "peers": None}}
-    assert flatten(nested) == {
+    assert flatten_settings(nested) == {
         "zones": "a,b",
         "grades.count": "1",
         "grades.0.name": "x",
@@ -42,23 +42,23 @@
     }
 
 
-def test_words_and_flags_are_decoded() -> None:
+def test_enum_values_and_flags_are_decoded() -> None:
     grade = {"name": "put", "effect": "keyed", "key_scope": "cell", "stream": True}
-    settings = decode_settings(flatten({"grades": [grade], "membership_mode": "on_request"}))
+    settings = decode_settings(flatten_settings({"grades": [grade], "membership_mode": "on_request"}))
     (request_class,) = settings.classes
     assert request_class.idempotency is Idempotency.WITH_KEY
     assert request_class.idempotency_key_scope is KeyScope.FAILURE_DOMAIN
     assert request_class.streamed and settings.discovery_by_polling
 
 
-def test_malformed_number_names_its_path() -> None:
+def test_malformed_number_error_names_its_path() -> None:
     with pytest.raises(MalformedSettingError, match=r"^packages\.0\.refill: bad number 'many'$"):
-        decode_settings(flatten({"packages": [{"refill": "many"}]}))
+        decode_settings(flatten_settings({"packages": [{"refill": "many"}]}))
 
 
-def test_unknown_word_names_its_key_and_its_entry() -> None:
+def test_unknown_enum_value_error_names_its_key_and_entry() -> None:
     with pytest.raises(InvalidSettingError) as caught:
-        decode_settings(flatten({"grades": [{"name": "put", "effect": "odd"}]}))
+        decode_settings(flatten_settings({"grades": [{"name": "put", "effect": "odd"}]}))
     assert caught.value.key == "grades[put].effect"
     assert caught.value.field == "classes[put].effect"
 
@@ -75,7 +75,7 @@
     ],
 )
 def test_field_of_the_model_is_translated_to_its_key(field: str, key: str) -> None:
-    assert configured_key(field) == key
+    assert setting_key_for_field(field) == key
 
 
 def test_transport_settings_have_defaults() -> None:
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -11,7 +11,7 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-SETUP = (
+SETTINGS = (
     "bounds.try_limit=4 bounds.cancel=true bounds.retry_after=true bounds.max_retry_after_ms=1000 "
     "family_info.may_count=true family_info.count_wait_ms=30 fleet_size=3 "
     "grades.count=1 grades.0.name=read grades.0.objective_ms=1000 grades.0.deadline_ms=4000 "
@@ -22,19 +22,19 @@
 )
 
 
-def opening(*names: str) -> str:
+def opening_batch(*names: str) -> str:
     lines = ["BATCH 1000.0"]
-    lines += [f"OPEN_INSTANCE {n} {7 + i} me={i} {SETUP}" for i, n in enumerate(names)]
+    lines += [f"OPEN_INSTANCE {n} {7 + i} me={i} {SETTINGS}" for i, n in enumerate(names)]
     lines += ["CATALOG 0 2", "M 10.0.0.1:80 a std 0 up 1 -", "M 10.0.0.2:80 b std 1 up 1 -"]
     lines += [f"DIRECTORY_UPDATE {n} Persisted 1 0" for n in names]
     return "\n".join([*lines, "END", ""])
 
 
-def batch(now: float, *lines: str) -> str:
-    return "\n".join([f"BATCH {now}", *lines, "END", ""])
+def batch(now_ms: float, *lines: str) -> str:
+    return "\n".join([f"BATCH {now_ms}", *lines, "END", ""])
 
 
-def run(text: str, hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
+def run_simulator(text: str, hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
     env = {**os.environ, "PYTHONHASHSEED": hash_seed}
     return subprocess.run(
         [sys.executable, "-m", "api_gateway.simulator"],
@@ -47,29 +47,31 @@
     )
 
 
-def req(name: str, rid: str, tenant: str = "key:c") -> str:
-    return f"REQ {name} {rid} read basic {tenant} 4000.0 1 3 0 0"
+def request_line(name: str, request_id: str, tenant: str = "key:c") -> str:
+    return f"REQ {name} {request_id} read basic {tenant} 4000.0 1 3 0 0"
 
 
 def test_requests_are_served_over_four_batches() -> None:
-    done = run("BATCH 900\nEND\n" + opening("gateway/0") + batch(1010, req("gateway/0", "r-a")))
-    assert done.returncode == 0 and done.stderr == ""
-    lines = done.stdout.splitlines()
+    completed = run_simulator(
+        "BATCH 900\nEND\n" + opening_batch("gateway/0") + batch(1010, request_line("gateway/0", "r-a"))
+    )
+    assert completed.returncode == 0 and completed.stderr == ""
+    lines = completed.stdout.splitlines()
     assert lines[0] == "OK" and lines.count("OK") == 3
-    name = re.search(r"ADD gateway/0 (\S+) \S+ \S+", done.stdout)
+    name = re.search(r"ADD gateway/0 (\S+) \S+ \S+", completed.stdout)
     assert name and name[1].isascii() and len(name[1]) <= 64
-    again = run(
+    again = run_simulator(
         "BATCH 900\nEND\n"
-        + opening("gateway/0")
-        + batch(1010, req("gateway/0", "r-a"))
+        + opening_batch("gateway/0")
+        + batch(1010, request_line("gateway/0", "r-a"))
         + batch(1014, f"COUNTER_REPLY gateway/0 1 Ok 2.15 {name[1]}")
     )
     sent = re.search(r"DELIVER gateway/0 r-a ([\d.]+) (10\.0\.0\.\d:80)", again.stdout)
     assert sent and 0 < float(sent[1]) <= 1000
-    served = run(
+    served = run_simulator(
         "BATCH 900\nEND\n"
-        + opening("gateway/0")
-        + batch(1010, req("gateway/0", "r-a"))
+        + opening_batch("gateway/0")
+        + batch(1010, request_line("gateway/0", "r-a"))
         + batch(1014, f"COUNTER_REPLY gateway/0 1 Ok 2.15 {name[1]}")
         + batch(
             1100,
@@ -99,23 +101,26 @@
     ],
 )
 def test_malformed_line_exits_with_one_line_on_stderr(line: str) -> None:
-    done = run(opening("gateway/0") + f"BATCH 1010\n{line}\nEND\n")
-    assert done.returncode not in (0, 1)
-    assert re.fullmatch(r"line \d+: .+\n", done.stderr)
-    assert "Traceback" not in done.stderr
-    assert done.stdout.endswith("OK\n") and done.stdout.count("OK") == 1
+    completed = run_simulator(opening_batch("gateway/0") + f"BATCH 1010\n{line}\nEND\n")
+    assert completed.returncode not in (0, 1)
+    assert re.fullmatch(r"line \d+: .+\n", completed.stderr)
+    assert "Traceback" not in completed.stderr
+    assert completed.stdout.endswith("OK\n") and completed.stdout.count("OK") == 1
 
 
 def test_truncated_input_exits_with_one_line_on_stderr() -> None:
-    for text in (opening("gateway/0") + "BATCH 1010\nREQ gate", opening("gateway/0") + "BATCH 1010\n"):
-        done = run(text)
-        assert done.returncode != 0 and done.stderr.count("\n") == 1
+    for text in (
+        opening_batch("gateway/0") + "BATCH 1010\nREQ gate",
+        opening_batch("gateway/0") + "BATCH 1010\n",
+    ):
+        completed = run_simulator(text)
+        assert completed.returncode != 0 and completed.stderr.count("\n") == 1
 
 
 def test_invalid_settings_are_reported_for_their_instance() -> None:
-    done = run("BATCH 1\nOPEN_INSTANCE gateway/0 5 fleet_size=0 grades.count=0\nEND\n")
-    assert done.returncode == 0
-    assert done.stdout == "BROKEN gateway/0 ValueError: classes: at least one is needed\nOK\n"
+    completed = run_simulator("BATCH 1\nOPEN_INSTANCE gateway/0 5 fleet_size=0 grades.count=0\nEND\n")
+    assert completed.returncode == 0
+    assert completed.stdout == "BROKEN gateway/0 ValueError: classes: at least one is needed\nOK\n"
 
 
 @pytest.mark.parametrize(
@@ -125,31 +130,31 @@
         ("grades.0.key_scope=odd", "classes[read].key_scope: 'odd' is not all, zone or cell"),
     ],
 )
-def test_word_that_is_not_allowed_is_reported_for_its_instance(setting: str, text: str) -> None:
-    done = run(f"BATCH 1\nOPEN_INSTANCE gateway/0 5 {SETUP} {setting}\nEND\n")
-    assert (done.returncode, done.stderr) == (0, "")
-    assert done.stdout == f"BROKEN gateway/0 ValueError: {text}\nOK\n"
+def test_unknown_enum_value_is_reported_for_its_instance(setting: str, text: str) -> None:
+    completed = run_simulator(f"BATCH 1\nOPEN_INSTANCE gateway/0 5 {SETTINGS} {setting}\nEND\n")
+    assert (completed.returncode, completed.stderr) == (0, "")
+    assert completed.stdout == f"BROKEN gateway/0 ValueError: {text}\nOK\n"
 
 
 def test_malformed_number_in_settings_names_its_key() -> None:
-    done = run(f"BATCH 1\nOPEN_INSTANCE gateway/0 5 {SETUP} rules.cold_ms=soon\nEND\n")
-    assert (done.returncode, done.stdout) == (2, "")
-    assert done.stderr == "line 2: rules.cold_ms: bad number 'soon'\n"
+    completed = run_simulator(f"BATCH 1\nOPEN_INSTANCE gateway/0 5 {SETTINGS} rules.cold_ms=soon\nEND\n")
+    assert (completed.returncode, completed.stdout) == (2, "")
+    assert completed.stderr == "line 2: rules.cold_ms: bad number 'soon'\n"
 
 
 def transcript(*names: str) -> str:
-    text = opening(*names)
+    text = opening_batch(*names)
     for step in range(60):
-        now = 30000 + 40 * step
-        lines = [req(n, f"r-{n[-1]}{step}", f"key:c{step % 7}") for n in names]
-        text += batch(now, *lines, *(f"TICK_DUE {n} sweep" for n in names))
+        now_ms = 30000 + 40 * step
+        lines = [request_line(n, f"r-{n[-1]}{step}", f"key:c{step % 7}") for n in names]
+        text += batch(now_ms, *lines, *(f"TICK_DUE {n} sweep" for n in names))
     return text
 
 
 def test_actions_do_not_depend_on_hash_seed_or_on_other_instances() -> None:
-    together = run(transcript("gateway/0", "gateway/1")).stdout
+    together = run_simulator(transcript("gateway/0", "gateway/1")).stdout
     assert together.count("DELIVER") + together.count("ADD") > 20
-    assert run(transcript("gateway/0", "gateway/1"), hash_seed="99").stdout == together
-    alone = run(transcript("gateway/0")).stdout.splitlines()
-    mine = [x for x in together.splitlines() if " gateway/0 " in x]
-    assert mine == [x for x in alone if x != "OK"]
+    assert run_simulator(transcript("gateway/0", "gateway/1"), hash_seed="99").stdout == together
+    alone = run_simulator(transcript("gateway/0")).stdout.splitlines()
+    instance_lines = [x for x in together.splitlines() if " gateway/0 " in x]
+    assert instance_lines == [x for x in alone if x != "OK"]
--- a/tests/test_testbed_gateways.py
+++ b/tests/test_testbed_gateways.py
@@ -9,7 +9,7 @@
 from support.http_fakes import LOOPBACK
 from support.program import run_scenario
 
-from api_gateway.configuration import Configuration, parse
+from api_gateway.configuration import Configuration, parse_configuration
 from api_gateway.network import discovery_policy
 from testbed.counter_server import CounterServer
 from testbed.discovery_server import DiscoveryServer
@@ -35,7 +35,7 @@
         seed=1,
         refill=50.0,
     )
-    return [parse(gateway_configuration(fleet, index)) for index in range(GATEWAYS)]
+    return [parse_configuration(gateway_configuration(fleet, index)) for index in range(GATEWAYS)]
 
 
 def test_simulated_gateways_serve_requests_and_follow_the_endpoint_list(
