--- a/testbed/cli.py
+++ b/testbed/cli.py
@@ -21,8 +21,8 @@
     simulated_gateways=60, real_gateways=2, endpoints=900, tenants=600, load_s=4.0, requests_per_s=10.0
 )
 MAX_LOAD_S = 300.0
-MAX_MEMORY_SHARE = 0.5  # of the machine's memory
-PIPE_WIDTH = 150  # columns of the tables if the output is no terminal
+MAX_MEMORY_FRACTION = 0.5  # of the machine's memory
+PIPE_WIDTH_COLUMNS = 150  # columns of the tables if the output is no terminal
 
 
 class ExitStatus(enum.IntEnum):
@@ -85,7 +85,7 @@
 )
 @click.option(
     "--turned-away",
-    "counter_rejected_share",
+    "counter_rejected_fraction",
     type=click.FloatRange(0.0, 1.0),
     help="Part of the counter's calls to reject while quotas are measured.",
 )
@@ -107,22 +107,22 @@
     console = Console(stderr=True)
     with console.status("starting") as status:
         report = run_experiment(plan, ["python", "-m", "testbed", *sys.argv[1:]], status.update)
-    print_report(report, Console(width=None if sys.stdout.isatty() else PIPE_WIDTH))
+    print_report(report, Console(width=None if sys.stdout.isatty() else PIPE_WIDTH_COLUMNS))
     if report_path is not None:
         _write_report(report, report_path)
 
 
 def _create_plan(quick: bool, discovery_by_polling: bool, options: dict[str, float | None]) -> Plan:
-    given = {name: value for name, value in options.items() if value is not None}
-    if not quick and "simulated_gateways" not in given:
+    given_options = {name: value for name, value in options.items() if value is not None}
+    if not quick and "simulated_gateways" not in given_options:
         raise click.UsageError("--gateways is needed, or --quick")
     base = QUICK_PLAN if quick else Plan(simulated_gateways=1)
-    return msgspec.structs.replace(base, discovery_by_polling=discovery_by_polling, **given)
+    return msgspec.structs.replace(base, discovery_by_polling=discovery_by_polling, **given_options)
 
 
 def _check_memory(plan: Plan) -> None:
     needed_mb = plan.estimated_memory_mb()
-    limit_mb = MAX_MEMORY_SHARE * machine_memory_mb()
+    limit_mb = MAX_MEMORY_FRACTION * machine_memory_mb()
     if needed_mb > limit_mb:
         raise click.UsageError(
             f"about {needed_mb:,.0f} MB are needed, half of this machine's memory is {limit_mb:,.0f}"
--- a/testbed/counter_server.py
+++ b/testbed/counter_server.py
@@ -8,10 +8,10 @@
 from typing import NamedTuple
 from urllib.parse import parse_qs, urlsplit
 
-from testbed.http_server import Request, TrafficCounters, encode_response
+from testbed.http_server import Request, TrafficStatistics, encode_response
 
-PATH_PREFIX = "/v1/count/"
-MAX_NAME_LENGTH = 64
+COUNT_PATH_PREFIX = "/v1/count/"
+MAX_COUNT_NAME_LENGTH = 64
 MAX_AMOUNT = 1e9
 MAX_LIFETIME_MS = 60_000.0
 LATE_RESPONSE_DELAY_S = 2.0  # beyond the timeout of every caller
@@ -47,15 +47,15 @@
         lifetime_s = min(float(query["ttl_ms"][0]), MAX_LIFETIME_MS) / 1000
     except (KeyError, ValueError):
         return None
-    name = url.path.removeprefix(PATH_PREFIX)
-    if not url.path.startswith(PATH_PREFIX) or not 0 < len(name) <= MAX_NAME_LENGTH:
+    name = url.path.removeprefix(COUNT_PATH_PREFIX)
+    if not url.path.startswith(COUNT_PATH_PREFIX) or not 0 < len(name) <= MAX_COUNT_NAME_LENGTH:
         return None
     if abs(amount) > MAX_AMOUNT:
         return None
     return Increment(name, amount, lifetime_s)
 
 
-class _Total(NamedTuple):
+class _Count(NamedTuple):
     value: float
     expires_at: float  # seconds, loop time
 
@@ -67,16 +67,16 @@
         traffic: Counts of requests, bytes and connections.
         calls: Valid calls so far.
         rejected_calls: Calls that got status 503.
-        rejected_share: Part of the calls to reject whatever the queue is, from 0 to 1.
-        late_share: Part of the processed calls to respond to only after their callers' timeouts.
+        rejected_fraction: Part of the calls to reject whatever the queue is, from 0 to 1.
+        late_fraction: Part of the processed calls to respond to only after their callers' timeouts.
     """
 
     def __init__(
         self,
         calls_per_s: float,
         partitions: int = 2,
-        max_queue_s: float = 0.1,
-        rejected_share: float = 0.0,
+        max_queue_delay_s: float = 0.1,
+        rejected_fraction: float = 0.0,
         seed: int = 1,
     ) -> None:
         """Initialize the counter.
@@ -84,19 +84,19 @@
         Args:
             calls_per_s: Calls a second that all partitions process together.
             partitions: Number of partitions.
-            max_queue_s: Longest time that a call may wait, in seconds.
-            rejected_share: Part of the calls to reject whatever the queue is, from 0 to 1.
+            max_queue_delay_s: Longest time that a call may wait, in seconds.
+            rejected_fraction: Part of the calls to reject whatever the queue is, from 0 to 1.
             seed: Seed of the random generator.
         """
-        self.traffic = TrafficCounters()
+        self.traffic = TrafficStatistics()
         self.calls = 0
         self.rejected_calls = 0
-        self.rejected_share = rejected_share
-        self.late_share = 0.0
-        self._max_queue_s = max_queue_s
-        self._call_s = partitions / calls_per_s
+        self.rejected_fraction = rejected_fraction
+        self.late_fraction = 0.0
+        self._max_queue_delay_s = max_queue_delay_s
+        self._call_duration_s = partitions / calls_per_s
         self._busy_until = [0.0] * partitions
-        self._totals: dict[str, _Total] = {}
+        self._counts: dict[str, _Count] = {}
         self._rng = random.Random(seed)
 
     def handle(self, request: Request) -> None:
@@ -109,8 +109,8 @@
         loop = asyncio.get_running_loop()
         now = loop.time()
         partition = zlib.crc32(increment.name.encode()) % len(self._busy_until)
-        done_at = max(self._busy_until[partition], now) + self._call_s
-        if done_at - now > self._max_queue_s or self._rng.random() < self.rejected_share:
+        done_at = max(self._busy_until[partition], now) + self._call_duration_s
+        if done_at - now > self._max_queue_delay_s or self._rng.random() < self.rejected_fraction:
             self.rejected_calls += 1
             request.respond(encode_response(503))
             return
@@ -120,13 +120,13 @@
     def _process(self, request: Request, increment: Increment) -> None:
         loop = asyncio.get_running_loop()
         now = loop.time()
-        total = self._totals.get(increment.name)
-        if total is None or now >= total.expires_at:
-            total = _Total(0.0, now + increment.lifetime_s)
-        total = _Total(total.value + increment.amount, total.expires_at)
-        self._totals[increment.name] = total
-        response = encode_response(200, f"{total.value:.7g}".encode())
-        if self._rng.random() < self.late_share:
+        count = self._counts.get(increment.name)
+        if count is None or now >= count.expires_at:
+            count = _Count(0.0, now + increment.lifetime_s)
+        count = _Count(count.value + increment.amount, count.expires_at)
+        self._counts[increment.name] = count
+        response = encode_response(200, f"{count.value:.7g}".encode())
+        if self._rng.random() < self.late_fraction:
             loop.call_later(LATE_RESPONSE_DELAY_S, request.respond, response)
         else:
             request.respond(response)
--- a/testbed/discovery_server.py
+++ b/testbed/discovery_server.py
@@ -15,11 +15,11 @@
 
 import msgspec
 
-from testbed.http_server import Request, TrafficCounters, encode_response
+from testbed.http_server import Request, TrafficStatistics, encode_response
 
 ENDPOINTS_PATH = "/v1/endpoints"
-MAX_LOGGED_GENERATIONS = 4096  # a watch from an older generation gets the full list
-MAX_WAIT_MS = 60_000.0
+MAX_RETAINED_CHANGES = 4096  # a watch from an older generation gets the full list
+MAX_LONG_POLL_MS = 60_000.0
 LIFECYCLE_GONE = "gone"
 
 
@@ -71,32 +71,34 @@
         generation: Generation of the list.
         instances: Current endpoints by id.
         traffic: Counts of requests, bytes and connections.
-        full_lists: Full lists sent.
-        change_lists: Lists of changes sent.
-        empty_lists: Responses sent without any change.
+        full_lists_sent: Full lists sent.
+        change_lists_sent: Lists of changes sent.
+        empty_lists_sent: Responses sent without any change.
         rejected_calls: Calls that got status 503.
         full_list_bytes: Size of the full list that was sent last, in bytes.
     """
 
-    def __init__(self, instances: list[Instance], calls_per_s: float = 0.0, max_queue_s: float = 2.0) -> None:
+    def __init__(
+        self, instances: list[Instance], calls_per_s: float = 0.0, max_queue_delay_s: float = 2.0
+    ) -> None:
         """Initialize the server.
 
         Args:
             instances: The endpoints of the first generation.
             calls_per_s: Calls a second that the server processes; 0 to respond to each at once.
-            max_queue_s: Longest time that a call may wait for its turn, in seconds.
+            max_queue_delay_s: Longest time that a call may wait for its turn, in seconds.
         """
         self.generation = 1
         self.instances = {instance.instanceId: instance for instance in instances}
-        self.traffic = TrafficCounters()
-        self.full_lists = 0
-        self.change_lists = 0
-        self.empty_lists = 0
+        self.traffic = TrafficStatistics()
+        self.full_lists_sent = 0
+        self.change_lists_sent = 0
+        self.empty_lists_sent = 0
         self.rejected_calls = 0
         self.full_list_bytes = 0
-        self._calls_per_s, self._max_queue_s = calls_per_s, max_queue_s
+        self._calls_per_s, self._max_queue_delay_s = calls_per_s, max_queue_delay_s
         self._busy_until = 0.0
-        self._changes: deque[_Change] = deque(maxlen=MAX_LOGGED_GENERATIONS)
+        self._changes: deque[_Change] = deque(maxlen=MAX_RETAINED_CHANGES)
         self._full_response = b""
         self._full_response_generation = 0
         self._long_polls: set[_LongPoll] = set()
@@ -109,7 +111,7 @@
         loop = asyncio.get_running_loop()
         now = loop.time()
         done_at = max(self._busy_until, now) + 1 / self._calls_per_s
-        if done_at - now > self._max_queue_s:
+        if done_at - now > self._max_queue_delay_s:
             self._busy_until = done_at - 1 / self._calls_per_s
             self.rejected_calls += 1
             request.respond(encode_response(503))
@@ -117,7 +119,7 @@
         self._busy_until = done_at
         loop.call_at(done_at, self._process, request)
 
-    def replace(self, changed: list[Instance]) -> None:
+    def publish_changes(self, changed: list[Instance]) -> None:
         """Publish a new generation and respond to all long polls.
 
         Args:
@@ -148,7 +150,7 @@
             self._send_full_list(request)
             return
         known_generation = int(query["after"][0])
-        wait_ms = min(float(query.get("wait_ms", ["0"])[0]), MAX_WAIT_MS)
+        wait_ms = min(float(query.get("wait_ms", ["0"])[0]), MAX_LONG_POLL_MS)
         if known_generation < self.generation:
             self._send_changes(request, known_generation)
             return
@@ -164,7 +166,7 @@
     def _send_full_list(self, request: Request) -> None:
         if not request.is_connected():
             return
-        self.full_lists += 1
+        self.full_lists_sent += 1
         if self._full_response_generation != self.generation:
             instances = [i for i in self.instances.values() if i.lifecycle != LIFECYCLE_GONE]
             self._full_response = self._encode_list(reset=True, instances=instances)
@@ -175,8 +177,8 @@
     def _send_changes(self, request: Request, known_generation: int) -> None:
         if not request.is_connected():
             return
-        oldest_change = self._changes[0].generation if self._changes else self.generation + 1
-        if known_generation + 1 < oldest_change and known_generation < self.generation:
+        oldest_generation = self._changes[0].generation if self._changes else self.generation + 1
+        if known_generation + 1 < oldest_generation and known_generation < self.generation:
             self._send_full_list(request)
             return
         changed: dict[str, Instance] = {}
@@ -184,9 +186,9 @@
             if change.generation > known_generation:
                 changed.update((instance.instanceId, instance) for instance in change.instances)
         if changed:
-            self.change_lists += 1
+            self.change_lists_sent += 1
         else:
-            self.empty_lists += 1
+            self.empty_lists_sent += 1
         request.respond(self._encode_list(reset=False, instances=list(changed.values())))
 
     def _encode_list(self, *, reset: bool, instances: list[Instance]) -> bytes:
--- a/testbed/endpoint_server.py
+++ b/testbed/endpoint_server.py
@@ -6,25 +6,25 @@
 import math
 import random
 
-from testbed.http_server import Request, TrafficCounters, encode_response
+from testbed.http_server import Request, TrafficStatistics, encode_response
 
-MEAN_SERVICE_MS = 20.0
-SERVICE_VARIATION = 0.8  # coefficient of variation: standard deviation over mean
+MEAN_SERVICE_TIME_MS = 20.0
+SERVICE_TIME_VARIATION_COEFFICIENT = 0.8  # coefficient of variation: standard deviation over mean
 
 
 class ServiceTimes:
     """Lognormal service times."""
 
-    def __init__(self, mean_ms: float, variation: float, seed: int) -> None:
+    def __init__(self, mean_ms: float, variation_coefficient: float, seed: int) -> None:
         """Initialize the distribution.
 
         Args:
             mean_ms: Mean service time in milliseconds.
-            variation: Coefficient of variation.
+            variation_coefficient: Coefficient of variation.
             seed: Seed of the random generator.
         """
         self._rng = random.Random(seed)
-        self._sigma = math.sqrt(math.log(1 + variation * variation))
+        self._sigma = math.sqrt(math.log(1 + variation_coefficient * variation_coefficient))
         self._mu = math.log(mean_ms / 1000) - self._sigma**2 / 2
 
     def draw(self) -> float:
@@ -36,20 +36,23 @@
     """Responds to each request after its service time, with that time (microseconds) as the body."""
 
     def __init__(
-        self, mean_ms: float = MEAN_SERVICE_MS, variation: float = SERVICE_VARIATION, seed: int = 1
+        self,
+        mean_ms: float = MEAN_SERVICE_TIME_MS,
+        variation_coefficient: float = SERVICE_TIME_VARIATION_COEFFICIENT,
+        seed: int = 1,
     ) -> None:
         """Initialize the server.
 
         Args:
             mean_ms: Mean service time in milliseconds.
-            variation: Coefficient of variation of the service time.
+            variation_coefficient: Coefficient of variation of the service time.
             seed: Seed of the random generator.
         """
-        self.traffic = TrafficCounters()
-        self._service_times = ServiceTimes(mean_ms, variation, seed)
+        self.traffic = TrafficStatistics()
+        self._service_times = ServiceTimes(mean_ms, variation_coefficient, seed)
 
     def handle(self, request: Request) -> None:
         """Respond to one request after its service time."""
-        service_s = self._service_times.draw()
-        response = encode_response(200, b"%d" % (service_s * 1e6), b"Content-Type: text/plain\r\n")
-        asyncio.get_running_loop().call_later(service_s, request.respond, response)
+        service_time_s = self._service_times.draw()
+        response = encode_response(200, b"%d" % (service_time_s * 1e6), b"Content-Type: text/plain\r\n")
+        asyncio.get_running_loop().call_later(service_time_s, request.respond, response)
--- a/testbed/gateway_configuration.py
+++ b/testbed/gateway_configuration.py
@@ -7,27 +7,27 @@
 
 from testbed.discovery_server import Instance
 
-ZONES = 5
+ZONE_COUNT = 5
 ENDPOINTS_PER_CELL = 6
-SAFE_CLASS = "read"
-UNSAFE_CLASS = "order"
+SAFE_CLASS_NAME = "read"
+UNSAFE_CLASS_NAME = "order"
 UNSAFE_CLASS_INTERVAL = 4  # every fourth request may not be repeated
-REQUEST_UNITS = (1, 2, 3)  # equally frequent
+REQUEST_UNIT_CHOICES = (1, 2, 3)  # equally frequent
 MAX_REQUEST_UNITS = 6
-BURST_S = 4.0  # seconds of refill that a token bucket holds
+BUCKET_CAPACITY_REFILL_S = 4.0  # seconds of refill that a token bucket holds
 REQUEST_DEADLINE_MS = 4000.0
 PLAN_NAME = "team"
 MAX_SOCKETS = 1024
-CLASSES = [
+REQUEST_CLASSES = [
     {
-        "name": SAFE_CLASS,
+        "name": SAFE_CLASS_NAME,
         "objective_ms": 1000.0,
         "deadline_ms": REQUEST_DEADLINE_MS,
         "worth": 1.0,
         "effect": "safe",
     },
     {
-        "name": UNSAFE_CLASS,
+        "name": UNSAFE_CLASS_NAME,
         "objective_ms": 1500.0,
         "deadline_ms": REQUEST_DEADLINE_MS,
         "worth": 3.0,
@@ -57,9 +57,9 @@
     refill: float
 
 
-def class_of_request(number: int) -> str:
+def request_class_name(request_number: int) -> str:
     """Return the class of the request with this serial number."""
-    return SAFE_CLASS if number % UNSAFE_CLASS_INTERVAL else UNSAFE_CLASS
+    return SAFE_CLASS_NAME if request_number % UNSAFE_CLASS_INTERVAL else UNSAFE_CLASS_NAME
 
 
 def bucket_capacity(refill: float) -> float:
@@ -71,7 +71,7 @@
     Returns:
         Some seconds of refill, and never less than the largest request.
     """
-    return max(BURST_S * refill, float(MAX_REQUEST_UNITS))
+    return max(BUCKET_CAPACITY_REFILL_S * refill, float(MAX_REQUEST_UNITS))
 
 
 def create_instances(count: int, addresses: list[str]) -> list[Instance]:
@@ -85,12 +85,14 @@
         The endpoints.
     """
     return [
-        Instance(f"s-{i:06x}", addresses[i % len(addresses)], f"zone-{i % ZONES}", i // ENDPOINTS_PER_CELL)
+        Instance(
+            f"s-{i:06x}", addresses[i % len(addresses)], f"zone-{i % ZONE_COUNT}", i // ENDPOINTS_PER_CELL
+        )
         for i in range(count)
     ]
 
 
-def gateway_configuration(fleet: FleetConfiguration, index: int) -> dict[str, Any]:
+def create_gateway_configuration(fleet: FleetConfiguration, index: int) -> dict[str, Any]:
     """Create the content of one gateway's configuration file.
 
     Args:
@@ -108,11 +110,11 @@
         "seed": f"{fleet.seed + index:x}",
         "limits": {"cores": 1.0, "memory_mb": 256, "sockets": MAX_SOCKETS},
         "settings": {
-            "grades": CLASSES,
+            "grades": REQUEST_CLASSES,
             "packages": [_plan(fleet.refill)],
             "fleet_size": fleet.fleet_size,
             "me": index,
-            "zone": f"zone-{index % ZONES}",
+            "zone": f"zone-{index % ZONE_COUNT}",
             "tick_ms": 2.0,
             "membership_mode": "on_request" if fleet.discovery_by_polling else "pushed",
             "rules": {
--- a/testbed/http_server.py
+++ b/testbed/http_server.py
@@ -57,13 +57,13 @@
         return not self._connection.transport.is_closing()
 
 
-class TrafficCounters:
+class TrafficStatistics:
     """Counts of requests, bytes and connections of one server."""
 
     def __init__(self) -> None:
         self.requests = 0
-        self.bytes_in = 0
-        self.bytes_out = 0
+        self.bytes_received = 0
+        self.bytes_sent = 0
         self.connections_opened = 0
         self.connections_open = 0
 
@@ -71,7 +71,7 @@
 class ServerConnection(asyncio.Protocol):
     """One downstream connection."""
 
-    def __init__(self, handle: Callable[[Request], None], traffic: TrafficCounters) -> None:
+    def __init__(self, handle: Callable[[Request], None], traffic: TrafficStatistics) -> None:
         self._handle, self._traffic = handle, traffic
         self._parser = httptools.HttpRequestParser(self)
         self._requests: deque[Request] = deque()
@@ -91,7 +91,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Parse requests; a malformed one gets status 400 and ends the connection."""
-        self._traffic.bytes_in += len(data)
+        self._traffic.bytes_received += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
@@ -117,13 +117,13 @@
         """Write each response that waits for no earlier one."""
         while self._requests and self._requests[0].response is not None:
             data = self._requests.popleft().response
-            self._traffic.bytes_out += len(data)
+            self._traffic.bytes_sent += len(data)
             if not self.transport.is_closing():
                 self.transport.write(data)
 
 
 async def serve(
-    handle: Callable[[Request], None], traffic: TrafficCounters, host: str = "127.0.0.1", port: int = 0
+    handle: Callable[[Request], None], traffic: TrafficStatistics, host: str = "127.0.0.1", port: int = 0
 ) -> asyncio.Server:
     """Listen for requests.
 
--- a/testbed/latency.py
+++ b/testbed/latency.py
@@ -32,13 +32,13 @@
     def __init__(self) -> None:
         self._histogram = _new_histogram()
 
-    def record(self, seconds: float) -> None:
+    def record(self, latency_s: float) -> None:
         """Record a latency; a value out of range counts as the nearest bound.
 
         Args:
-            seconds: The latency in seconds.
+            latency_s: The latency in seconds.
         """
-        self._histogram.record_value(min(max(int(seconds * 1e6), MIN_LATENCY_US), MAX_LATENCY_US))
+        self._histogram.record_value(min(max(int(latency_s * 1e6), MIN_LATENCY_US), MAX_LATENCY_US))
 
     def count(self) -> int:
         """Return the number of recorded latencies."""
--- a/testbed/load_generator.py
+++ b/testbed/load_generator.py
@@ -16,7 +16,7 @@
 from testbed import gateway_configuration
 from testbed.latency import LatencyRecorder
 
-LAST_RESPONSES_S = 1.0  # how long to wait for responses after the load
+FINAL_RESPONSE_WAIT_S = 1.0  # how long to wait for responses after the load
 
 
 @dataclass(frozen=True, slots=True)
@@ -108,7 +108,9 @@
         self._addresses, self._fleet_size, self._tenants = addresses, fleet_size, tenants
         self._requests_per_s = requests_per_s * len(addresses)
         self._rng = random.Random(seed)
-        self._idle: dict[GatewayAddress, deque[_ClientConnection]] = {a: deque() for a in addresses}
+        self._idle_connections: dict[GatewayAddress, deque[_ClientConnection]] = {
+            a: deque() for a in addresses
+        }
         self._connect_tasks: set[asyncio.Task] = set()
         self.added_latency = LatencyRecorder()
         self.requests_sent = 0
@@ -127,7 +129,7 @@
             await asyncio.sleep(max(due_at - time.monotonic(), 0.0))
             self.requests_sent += 1
             self._send(due_at, self._rng.choice(self._addresses))
-        await asyncio.sleep(LAST_RESPONSES_S)
+        await asyncio.sleep(FINAL_RESPONSE_WAIT_S)
 
     def response_received(self, due_at: float, status: int, body: bytes) -> None:
         """Count one response.
@@ -143,15 +145,15 @@
 
     def release(self, connection: _ClientConnection) -> None:
         """Make a connection available for the next request."""
-        self._idle[connection.address].append(connection)
+        self._idle_connections[connection.address].append(connection)
 
     def connection_lost(self, connection: _ClientConnection) -> None:
         """Forget a closed connection."""
-        if connection in self._idle[connection.address]:
-            self._idle[connection.address].remove(connection)
+        if connection in self._idle_connections[connection.address]:
+            self._idle_connections[connection.address].remove(connection)
 
     def _send(self, due_at: float, address: GatewayAddress) -> None:
-        idle_connections = self._idle[address]
+        idle_connections = self._idle_connections[address]
         if idle_connections:
             idle_connections.pop().send(due_at, self._encode_request())
             return
@@ -170,8 +172,8 @@
         connection.send(due_at, self._encode_request())
 
     def _encode_request(self) -> bytes:
-        class_name = gateway_configuration.class_of_request(self.requests_sent)
-        unsafe = class_name == gateway_configuration.UNSAFE_CLASS
+        class_name = gateway_configuration.request_class_name(self.requests_sent)
+        unsafe = class_name == gateway_configuration.UNSAFE_CLASS_NAME
         tenant = self._rng.randrange(self._tenants)
         return (
             b"%b /api/%016x HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: c%015x\r\nX-Class: %b\r\n"
@@ -184,7 +186,7 @@
                 gateway_configuration.PLAN_NAME.encode(),
                 gateway_configuration.REQUEST_DEADLINE_MS,
                 b"Content-Length: 0\r\n" if unsafe else b"",
-                self._rng.choice(gateway_configuration.REQUEST_UNITS),
+                self._rng.choice(gateway_configuration.REQUEST_UNIT_CHOICES),
                 self._fleet_size,
             )
         )
--- a/testbed/process.py
+++ b/testbed/process.py
@@ -17,15 +17,15 @@
 from testbed.errors import ProcessError, ProcessLimitError
 from testbed.messages import Command, Reply, Started, WorkerConfig
 
-ROOT = Path(__file__).parent.parent
-MAX_LINE_BYTES = 256 * 1024 * 1024
-KEPT_STDERR_BYTES = 2000
+PROJECT_ROOT = Path(__file__).parent.parent
+MAX_REPLY_LINE_BYTES = 256 * 1024 * 1024
+MAX_STDERR_TAIL_BYTES = 2000
 START_TIMEOUT_S = 60.0
 COMMAND_TIMEOUT_S = 60.0
 EXIT_TIMEOUT_S = 3.0  # how long a process may take to end by itself
 NANOSECONDS_PER_S = 1e9
 
-ReplyType = TypeVar("ReplyType", bound=Reply)
+ReplyT = TypeVar("ReplyT", bound=Reply)
 
 
 class ProcessRole(enum.Enum):
@@ -63,8 +63,8 @@
         return self._stderr_tail
 
     async def execute(
-        self, command: Command, reply_type: type[ReplyType], timeout_s: float = COMMAND_TIMEOUT_S
-    ) -> ReplyType:
+        self, command: Command, reply_type: type[ReplyT], timeout_s: float = COMMAND_TIMEOUT_S
+    ) -> ReplyT:
         """Send a command and wait for its reply.
 
         Args:
@@ -89,8 +89,8 @@
         return await self._exchange(config, Started, START_TIMEOUT_S)
 
     async def _exchange(
-        self, message: Command | WorkerConfig, reply_type: type[ReplyType], timeout_s: float
-    ) -> ReplyType:
+        self, message: Command | WorkerConfig, reply_type: type[ReplyT], timeout_s: float
+    ) -> ReplyT:
         self._process.stdin.write(msgspec.json.encode(message) + b"\n")
         try:
             line = await asyncio.wait_for(self._process.stdout.readline(), timeout_s)
@@ -130,7 +130,7 @@
 
     async def _read_stderr(self) -> None:
         while chunk := await self._process.stderr.read(4096):
-            self._stderr_tail = (self._stderr_tail + chunk)[-KEPT_STDERR_BYTES:]
+            self._stderr_tail = (self._stderr_tail + chunk)[-MAX_STDERR_TAIL_BYTES:]
 
     def _last_stderr_line(self) -> str:
         lines = self._stderr_tail.decode(errors="replace").strip().splitlines()
@@ -196,12 +196,12 @@
             raise ProcessLimitError(self._max_processes)
         process = await asyncio.create_subprocess_exec(
             *command,
-            cwd=ROOT,
+            cwd=PROJECT_ROOT,
             env={**os.environ, **environment},
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.PIPE,
-            limit=MAX_LINE_BYTES,
+            limit=MAX_REPLY_LINE_BYTES,
             start_new_session=True,  # Ctrl-C on the terminal reaches this process alone
         )
         child = ChildProcess(role, process)
--- a/testbed/quota_accounting.py
+++ b/testbed/quota_accounting.py
@@ -57,15 +57,15 @@
         The units within and over the quotas, and those that the quotas allow.
     """
     buckets: dict[int, tuple[float, float]] = {}  # tokens, and the time of that level in seconds
-    within = over = 0.0
+    units_within_quota = units_over_quota = 0.0
     for sent_at_s, tenant, units in sorted(forwarded):
         tokens, updated_at_s = buckets.get(tenant, (burst, sent_at_s))
         tokens = min(burst, tokens + refill * (sent_at_s - updated_at_s))
         if tokens >= units:
             tokens -= units
-            within += units
+            units_within_quota += units
         else:
-            over += units
+            units_over_quota += units
         buckets[tenant] = (tokens, sent_at_s)
-    allowed = sum(min(units, refill * seconds + burst) for units in requested_units.values())
-    return QuotaUsage(within, over, allowed)
+    units_allowed = sum(min(units, refill * seconds + burst) for units in requested_units.values())
+    return QuotaUsage(units_within_quota, units_over_quota, units_allowed)
--- a/testbed/scale/experiment.py
+++ b/testbed/scale/experiment.py
@@ -35,13 +35,15 @@
 from testbed.scale.report import EndpointReplacement, QuotaFigures, Report, SizeFigures
 
 MAX_PROCESSES = 300
-SETTLING_S = 0.5  # between the start and the measurement without load
-MIN_IDLE_S = 1.0
-CALIBRATION_S = 0.5
+SETTLING_TIME_S = 0.5  # between the start and the measurement without load
+MIN_IDLE_INTERVAL_S = 1.0
+CALIBRATION_LOAD_S = 0.5
 MIN_QUOTA_LOAD_S = 5.0
-REPLACED_FRACTION = 50  # one of so many endpoints is replaced
+REPLACED_ENDPOINT_DIVISOR = 50  # one of so many endpoints is replaced
 PROPAGATION_POLL_INTERVAL_S = 0.01
-AFTER_REPLACEMENT_S = 1.0  # how long the cost of a replacement is measured after all gateways know it
+MEASUREMENT_AFTER_PROPAGATION_S = (
+    1.0  # how long the cost of a replacement is measured after all gateways know it
+)
 NOTES = (
     "All processes ran on one machine: compare slopes, not single figures.",
     'Simulated ("hollow") gateways have no client or endpoint sockets; the cost of these shows at the real'
@@ -69,20 +71,22 @@
     """
     with contextlib.closing(asyncio.new_event_loop()) as loop:
         task = loop.create_task(_run(plan, command, show_status))
-        for number in (signal.SIGINT, signal.SIGTERM):
-            loop.add_signal_handler(number, task.cancel)
+        for signal_number in (signal.SIGINT, signal.SIGTERM):
+            loop.add_signal_handler(signal_number, task.cancel)
         return loop.run_until_complete(task)
 
 
 async def _run(plan: Plan, command: Sequence[str], show_status: StatusCallback) -> Report:
     started_at = time.monotonic()
     sizes = []
-    with tempfile.TemporaryDirectory(prefix="testbed-") as folder:
-        for endpoints in plan.endpoint_counts():
-            async with ProcessGroup(MAX_PROCESSES) as group:
-                experiment = SizeExperiment(Fleet(plan, endpoints, group, Path(folder)), show_status)
+    with tempfile.TemporaryDirectory(prefix="testbed-") as directory:
+        for endpoint_count in plan.endpoint_counts():
+            async with ProcessGroup(MAX_PROCESSES) as process_group:
+                experiment = SizeExperiment(
+                    Fleet(plan, endpoint_count, process_group, Path(directory)), show_status
+                )
                 sizes.append(await experiment.run())
-                if endpoints == plan.endpoints:
+                if endpoint_count == plan.endpoints:
                     quotas = await experiment.measure_quotas()
     return Report(
         plan=plan,
@@ -119,19 +123,21 @@
             ProcessError: A process ended or did not reply in time.
         """
         fleet, plan = self._fleet, self._plan
-        self._show(f"starting {plan.simulated_gateways} simulated and {plan.real_gateways} real gateways")
+        self._show_progress(
+            f"starting {plan.simulated_gateways} simulated and {plan.real_gateways} real gateways"
+        )
         start_s = await fleet.start()
-        await asyncio.sleep(SETTLING_S)
+        await asyncio.sleep(SETTLING_TIME_S)
         measurement = await self._measure_load()
         if not any(result.requests_served for result in measurement.simulated_results) and not (
             measurement.real_result and measurement.real_result.requests_served
         ):
             raise NoRequestServedError
         return SizeFigures(
-            endpoints=fleet.endpoints,
+            endpoints=fleet.endpoint_count,
             start_s=start_s,
             roles=measure_roles(fleet, measurement),
-            max_over_mean_load=_max_over_mean_load(measurement.simulated_results, fleet.endpoints),
+            max_over_mean_load=_max_over_mean_load(measurement.simulated_results, fleet.endpoint_count),
             full_list_bytes=measurement.load.end.discovery.full_list_bytes,
             start_bytes_per_gateway=measurement.idle.start.discovery.bytes / plan.fleet_size,
             replacement=await self._measure_replacement(),
@@ -141,12 +147,12 @@
         """Measure what is forwarded over quotas while the counter rejects calls."""
         fleet, plan = self._fleet, self._plan
         seconds = max(plan.load_s, MIN_QUOTA_LOAD_S)
-        self._show(f"load with {plan.counter_rejected_share:.0%} of the counter's calls rejected")
-        before = await fleet.counter.execute(
-            SetRejectedShare(share=plan.counter_rejected_share), CounterStatistics
+        self._show_progress(f"load with {plan.counter_rejected_fraction:.0%} of the counter's calls rejected")
+        counter_before = await fleet.counter.execute(
+            SetRejectedShare(share=plan.counter_rejected_fraction), CounterStatistics
         )
         results = await fleet.run_simulated_load(RunLoad(seconds=seconds, include_requests=True))
-        after = await fleet.counter.execute(SetRejectedShare(share=0.0), CounterStatistics)
+        counter_after = await fleet.counter.execute(SetRejectedShare(share=0.0), CounterStatistics)
         requested_units: Counter[int] = Counter()
         for result in results:
             requested_units.update(result.requested_units)
@@ -157,27 +163,27 @@
             burst=gateway_configuration.bucket_capacity(fleet.refill),
             seconds=seconds,
         )
-        rejected_calls = after.rejected_calls - before.rejected_calls
+        rejected_calls = counter_after.rejected_calls - counter_before.rejected_calls
         return QuotaFigures(
-            configured_rejected_share=plan.counter_rejected_share,
-            rejected_share=rejected_calls / max(after.calls - before.calls, 1),
+            configured_rejected_fraction=plan.counter_rejected_fraction,
+            rejected_fraction=rejected_calls / max(counter_after.calls - counter_before.calls, 1),
             units_within_quota=usage.units_within_quota,
             units_over_quota=usage.units_over_quota,
-            over_quota_share=usage.units_over_quota / usage.units_allowed if usage.units_allowed else 0.0,
+            over_quota_ratio=usage.units_over_quota / usage.units_allowed if usage.units_allowed else 0.0,
         )
 
     async def _measure_load(self) -> LoadMeasurement:
         fleet, plan = self._fleet, self._plan
-        self._show("idle")
+        self._show_progress("idle")
         idle_start = await take_snapshot(fleet)
-        await asyncio.sleep(max(plan.load_s / 2, MIN_IDLE_S))
+        await asyncio.sleep(max(plan.load_s / 2, MIN_IDLE_INTERVAL_S))
         idle_end = await take_snapshot(fleet)
-        self._show("cost of the load generation")
+        self._show_progress("cost of the load generation")
         calibration_results = await fleet.run_simulated_load(
-            RunLoad(seconds=CALIBRATION_S, bypass_gateways=True)
+            RunLoad(seconds=CALIBRATION_LOAD_S, bypass_gateways=True)
         )
         calibration_end = await take_snapshot(fleet)
-        self._show(f"load for {plan.load_s:g} s")
+        self._show_progress(f"load for {plan.load_s:g} s")
         simulated_results, real_result = await fleet.run_load(plan.load_s)
         load_end = await take_snapshot(fleet)
         return LoadMeasurement(
@@ -191,23 +197,25 @@
 
     async def _measure_replacement(self) -> EndpointReplacement:
         fleet = self._fleet
-        count = max(fleet.endpoints // REPLACED_FRACTION, 1)
-        self._show(f"replacement of {count} endpoints")
-        before = await take_snapshot(fleet)
-        discovery = await fleet.discovery.execute(ReplaceEndpoints(count=count), DiscoveryStatistics)
-        propagation_s = await self._wait_until_known(discovery.generation)
-        await asyncio.sleep(AFTER_REPLACEMENT_S)
-        interval = Interval(before, await take_snapshot(fleet))
+        replaced_endpoint_count = max(fleet.endpoint_count // REPLACED_ENDPOINT_DIVISOR, 1)
+        self._show_progress(f"replacement of {replaced_endpoint_count} endpoints")
+        start = await take_snapshot(fleet)
+        discovery = await fleet.discovery.execute(
+            ReplaceEndpoints(count=replaced_endpoint_count), DiscoveryStatistics
+        )
+        propagation_s = await self._wait_until_propagated(discovery.generation)
+        await asyncio.sleep(MEASUREMENT_AFTER_PROPAGATION_S)
+        interval = Interval(start, await take_snapshot(fleet))
         sent_bytes = interval.end.discovery.bytes - interval.start.discovery.bytes
-        cpu_s = interval.cpu_s(fleet.simulated_gateways)
+        cpu_s = interval.cpu_s(fleet.simulated_gateway_processes)
         return EndpointReplacement(
-            endpoints_replaced=count,
+            endpoints_replaced=replaced_endpoint_count,
             propagation_s=propagation_s,
             bytes_per_gateway=sent_bytes / self._plan.fleet_size,
             cpu_ms_per_gateway=cpu_s / self._plan.simulated_gateways * 1000,
         )
 
-    async def _wait_until_known(self, generation: int) -> float:
+    async def _wait_until_propagated(self, generation: int) -> float:
         started_at = time.monotonic()
         while await self._count_outdated(generation):
             if time.monotonic() - started_at > READY_TIMEOUT_S:
@@ -219,18 +227,18 @@
 
     async def _count_outdated(self, generation: int) -> int:
         outdated = 0
-        for process in self._fleet.simulated_gateways:
+        for process in self._fleet.simulated_gateway_processes:
             outdated += (await process.execute(CountOutdated(generation=generation), GatewayCount)).count
         return outdated
 
-    def _show(self, text: str) -> None:
-        self._show_status(f"{self._fleet.endpoints} endpoints: {text}")
+    def _show_progress(self, text: str) -> None:
+        self._show_status(f"{self._fleet.endpoint_count} endpoints: {text}")
 
 
-def _max_over_mean_load(results: Sequence[SimulatedLoadResult], endpoints: int) -> float:
+def _max_over_mean_load(results: Sequence[SimulatedLoadResult], endpoint_count: int) -> float:
     """Attempts at the busiest endpoint, divided by the mean over all endpoints."""
     attempts: Counter[str] = Counter()
     for result in results:
         attempts.update(result.attempts_by_endpoint)
-    mean = sum(attempts.values()) / endpoints
+    mean = sum(attempts.values()) / endpoint_count
     return max(attempts.values(), default=0) / mean if mean else 0.0
--- a/testbed/scale/fits.py
+++ b/testbed/scale/fits.py
@@ -11,10 +11,10 @@
 TARGET_ENDPOINTS = 11_000
 
 
-class _Figure(NamedTuple):
+class _FittedFigure(NamedTuple):
     role: Role
-    attribute: str  # of RoleFigures
-    key: str  # in the report
+    attribute_name: str  # of RoleFigures
+    report_key: str  # in the report
     unit: str
 
 
@@ -23,17 +23,17 @@
     value: float
 
 
-_FIGURES = (
-    _Figure(Role.SIMULATED_GATEWAY, "cpu_us_per_request", "cpu_us_per_request", "us"),
-    _Figure(Role.SIMULATED_GATEWAY, "cpu_us_per_idle_s", "cpu_us_per_idle_s", "us"),
-    _Figure(Role.SIMULATED_GATEWAY, "memory_mb", "memory_mb", "MB"),
-    _Figure(Role.REAL_GATEWAY, "cpu_us_per_request", "cpu_us_per_request", "us"),
-    _Figure(Role.REAL_GATEWAY, "cpu_us_per_idle_s", "cpu_us_per_idle_s", "us"),
-    _Figure(Role.REAL_GATEWAY, "memory_mb", "memory_mb", "MB"),
-    _Figure(Role.DISCOVERY, "bytes_per_s", "bytes_per_s", "bytes/s"),
-    _Figure(Role.COUNTER, "requests_per_s", "messages_per_s", "1/s"),
+_FITTED_FIGURES = (
+    _FittedFigure(Role.SIMULATED_GATEWAY, "cpu_us_per_request", "cpu_us_per_request", "us"),
+    _FittedFigure(Role.SIMULATED_GATEWAY, "cpu_us_per_idle_s", "cpu_us_per_idle_s", "us"),
+    _FittedFigure(Role.SIMULATED_GATEWAY, "memory_mb", "memory_mb", "MB"),
+    _FittedFigure(Role.REAL_GATEWAY, "cpu_us_per_request", "cpu_us_per_request", "us"),
+    _FittedFigure(Role.REAL_GATEWAY, "cpu_us_per_idle_s", "cpu_us_per_idle_s", "us"),
+    _FittedFigure(Role.REAL_GATEWAY, "memory_mb", "memory_mb", "MB"),
+    _FittedFigure(Role.DISCOVERY, "bytes_per_s", "bytes_per_s", "bytes/s"),
+    _FittedFigure(Role.COUNTER, "requests_per_s", "messages_per_s", "1/s"),
 )
-FULL_LIST_FIGURE = "whole list"  # name in the report
+FULL_LIST_FIGURE_NAME = "whole list"  # name in the report
 
 
 def fit_sizes(sizes: Sequence[SizeFigures]) -> list[Fit]:
@@ -45,29 +45,31 @@
     Returns:
         The fits; none with fewer than three sizes.
     """
-    largest = max(size.endpoints for size in sizes)
+    max_endpoints = max(size.endpoints for size in sizes)
     fits = []
-    for figure in _FIGURES:
-        points = _points(sizes, figure)
+    for figure in _FITTED_FIGURES:
+        points = _figure_points(sizes, figure)
         if len(points) >= MIN_POINTS:
-            fits.append(_fit(f"{figure.role.value}: {figure.key}", figure.unit, points, largest))
+            fits.append(
+                _fit_points(f"{figure.role.value}: {figure.report_key}", figure.unit, points, max_endpoints)
+            )
     full_list_points = [_Point(size.endpoints, float(size.full_list_bytes)) for size in sizes]
     if len(full_list_points) >= MIN_POINTS:
-        fits.append(_fit(FULL_LIST_FIGURE, "bytes", full_list_points, largest))
+        fits.append(_fit_points(FULL_LIST_FIGURE_NAME, "bytes", full_list_points, max_endpoints))
     return fits
 
 
-def _points(sizes: Sequence[SizeFigures], figure: _Figure) -> list[_Point]:
+def _figure_points(sizes: Sequence[SizeFigures], figure: _FittedFigure) -> list[_Point]:
     points = []
     for size in sizes:
         for role_figures in size.roles:
-            value = getattr(role_figures, figure.attribute)
+            value = getattr(role_figures, figure.attribute_name)
             if role_figures.role is figure.role and value is not None:
                 points.append(_Point(size.endpoints, value))
     return points
 
 
-def _fit(name: str, unit: str, points: Sequence[_Point], largest: int) -> Fit:
+def _fit_points(name: str, unit: str, points: Sequence[_Point], max_endpoints: int) -> Fit:
     line = fit_line([point.endpoints for point in points], [point.value for point in points])
     return Fit(
         figure=name,
@@ -76,5 +78,5 @@
         slope_per_1000_endpoints=1000 * line.slope,
         residual_deviation=line.residual_deviation,
         at_target=line.intercept + line.slope * TARGET_ENDPOINTS,
-        extrapolated=largest < TARGET_ENDPOINTS,
+        extrapolated=max_endpoints < TARGET_ENDPOINTS,
     )
--- a/testbed/scale/fleet.py
+++ b/testbed/scale/fleet.py
@@ -26,18 +26,18 @@
     SimulatedGatewaysConfig,
     SimulatedLoadResult,
 )
-from testbed.process import ROOT, ChildProcess, ProcessGroup, ProcessRole
-from testbed.scale.plan import GATEWAYS_PER_PROCESS, Plan
+from testbed.process import PROJECT_ROOT, ChildProcess, ProcessGroup, ProcessRole
+from testbed.scale.plan import SIMULATED_GATEWAYS_PER_PROCESS, Plan
 
-DEPLOY_FILE = ROOT / "deploy" / "balancer.toml"
+DEPLOY_FILE = PROJECT_ROOT / "deploy" / "balancer.toml"
 COUNTER_CALLS_PER_S = 20_000.0
 ENDPOINT_PROCESSES = 2
 PORTS_PER_ENDPOINT_PROCESS = 32
-UNUSED_ADDRESS = "127.0.0.1:9"  # of endpoints that only simulated gateways send to
-MIN_REFILL = 0.05  # units a second
+SIMULATED_ENDPOINT_ADDRESS = "127.0.0.1:9"  # of endpoints that only simulated gateways send to
+MIN_REFILL_UNITS_PER_S = 0.05  # units a second
 READY_TIMEOUT_S = 120.0
 READY_POLL_INTERVAL_S = 0.05
-LISTENING_LOG_LINE = re.compile(rb"listening on 127\.0\.0\.1:(\d+)")
+LISTENING_LOG_PATTERN = re.compile(rb"listening on 127\.0\.0\.1:(\d+)")
 
 
 class Fleet:
@@ -45,36 +45,38 @@
 
     Attributes:
         plan: The experiment.
-        endpoints: Size of the endpoint list.
-        group: All processes.
+        endpoint_count: Size of the endpoint list.
+        process_group: All processes.
         refill: Units a second of each tenant's quota.
-        endpoint_servers: Processes of the endpoints of real gateways.
+        endpoint_processes: Processes of the endpoints of real gateways.
         discovery: Process of discovery.
         counter: Process of the counter.
-        simulated_gateways: Processes of simulated gateways.
-        real_gateways: Processes of real gateways.
+        simulated_gateway_processes: Processes of simulated gateways.
+        real_gateway_processes: Processes of real gateways.
         load_generator: Process of the load on real gateways, if there are any.
     """
 
     discovery: ChildProcess
     counter: ChildProcess
 
-    def __init__(self, plan: Plan, endpoints: int, group: ProcessGroup, folder: Path) -> None:
+    def __init__(self, plan: Plan, endpoint_count: int, process_group: ProcessGroup, directory: Path) -> None:
         """Initialize a fleet that `start` starts.
 
         Args:
             plan: The experiment.
-            endpoints: Size of the endpoint list.
-            group: Ends the processes.
-            folder: Where the configuration files of real gateways are written.
+            endpoint_count: Size of the endpoint list.
+            process_group: Ends the processes.
+            directory: Where the configuration files of real gateways are written.
         """
-        self.plan, self.endpoints, self.group = plan, endpoints, group
-        self._folder = folder
-        mean_units = statistics.mean(gateway_configuration.REQUEST_UNITS)
-        self.refill = max(mean_units * plan.requests_per_s * plan.fleet_size / plan.tenants, MIN_REFILL)
-        self.endpoint_servers: list[ChildProcess] = []
-        self.simulated_gateways: list[ChildProcess] = []
-        self.real_gateways: list[ChildProcess] = []
+        self.plan, self.endpoint_count, self.process_group = plan, endpoint_count, process_group
+        self._directory = directory
+        mean_units = statistics.mean(gateway_configuration.REQUEST_UNIT_CHOICES)
+        self.refill = max(
+            mean_units * plan.requests_per_s * plan.fleet_size / plan.tenants, MIN_REFILL_UNITS_PER_S
+        )
+        self.endpoint_processes: list[ChildProcess] = []
+        self.simulated_gateway_processes: list[ChildProcess] = []
+        self.real_gateway_processes: list[ChildProcess] = []
         self.load_generator: ChildProcess | None = None
 
     async def start(self) -> float:
@@ -88,13 +90,13 @@
             ProcessError: A process ended or did not reply in time.
         """
         endpoint_addresses = await self._start_endpoints()
-        configuration = await self._start_discovery_and_counter(endpoint_addresses)
+        fleet_configuration = await self._start_discovery_and_counter(endpoint_addresses)
         started_at = time.monotonic()
-        await self._start_simulated_gateways(configuration)
-        await self._start_real_gateways(configuration)
+        await self._start_simulated_gateways(fleet_configuration)
+        await self._start_real_gateways(fleet_configuration)
         gateway_addresses = await self._wait_until_ready(started_at)
         ready_after_s = time.monotonic() - started_at
-        if self.real_gateways:
+        if self.real_gateway_processes:
             await self._start_load_generator(gateway_addresses)
         return ready_after_s
 
@@ -112,37 +114,40 @@
             return await self.run_simulated_load(command), None
         return await asyncio.gather(
             self.run_simulated_load(command),
-            self.load_generator.execute(command, LoadResult, _load_timeout_s(seconds)),
+            self.load_generator.execute(command, LoadResult, _load_command_timeout_s(seconds)),
         )
 
     async def run_simulated_load(self, command: RunLoad) -> list[SimulatedLoadResult]:
         """Generate load on simulated gateways alone, and return the result of each process."""
-        timeout_s = _load_timeout_s(command.seconds)
+        timeout_s = _load_command_timeout_s(command.seconds)
         return await asyncio.gather(
-            *(process.execute(command, SimulatedLoadResult, timeout_s) for process in self.simulated_gateways)
+            *(
+                process.execute(command, SimulatedLoadResult, timeout_s)
+                for process in self.simulated_gateway_processes
+            )
         )
 
     async def _start_endpoints(self) -> list[str]:
         if not self.plan.real_gateways:
-            return [UNUSED_ADDRESS]
+            return [SIMULATED_ENDPOINT_ADDRESS]
         addresses = []
         for i in range(ENDPOINT_PROCESSES):
             config = EndpointConfig(seed=self.plan.seed + i, ports=PORTS_PER_ENDPOINT_PROCESS)
-            process, started = await self.group.start_worker(ProcessRole.ENDPOINTS, config)
-            self.endpoint_servers.append(process)
+            process, started = await self.process_group.start_worker(ProcessRole.ENDPOINTS, config)
+            self.endpoint_processes.append(process)
             addresses += started.addresses
         return addresses
 
     async def _start_discovery_and_counter(self, endpoint_addresses: list[str]) -> FleetConfiguration:
         plan = self.plan
-        self.discovery, discovery_started = await self.group.start_worker(
+        self.discovery, discovery_started = await self.process_group.start_worker(
             ProcessRole.DISCOVERY,
             DiscoveryConfig(
-                instances=gateway_configuration.create_instances(self.endpoints, endpoint_addresses),
+                instances=gateway_configuration.create_instances(self.endpoint_count, endpoint_addresses),
                 calls_per_s=plan.discovery_calls_per_s if plan.discovery_by_polling else 0.0,
             ),
         )
-        self.counter, counter_started = await self.group.start_worker(
+        self.counter, counter_started = await self.process_group.start_worker(
             ProcessRole.COUNTER, CounterConfig(calls_per_s=COUNTER_CALLS_PER_S)
         )
         return FleetConfiguration(
@@ -154,27 +159,27 @@
             refill=self.refill,
         )
 
-    async def _start_simulated_gateways(self, configuration: FleetConfiguration) -> None:
+    async def _start_simulated_gateways(self, fleet_configuration: FleetConfiguration) -> None:
         plan = self.plan
-        for first_index in range(0, plan.simulated_gateways, GATEWAYS_PER_PROCESS):
+        for first_index in range(0, plan.simulated_gateways, SIMULATED_GATEWAYS_PER_PROCESS):
             config = SimulatedGatewaysConfig(
-                fleet=configuration,
+                fleet=fleet_configuration,
                 first_index=first_index,
-                count=min(GATEWAYS_PER_PROCESS, plan.simulated_gateways - first_index),
+                count=min(SIMULATED_GATEWAYS_PER_PROCESS, plan.simulated_gateways - first_index),
                 tenants=plan.tenants,
                 requests_per_s=plan.requests_per_s,
                 traffic_share_shape=plan.traffic_share_shape,
             )
-            process, _ = await self.group.start_worker(ProcessRole.SIMULATED_GATEWAYS, config)
-            self.simulated_gateways.append(process)
+            process, _ = await self.process_group.start_worker(ProcessRole.SIMULATED_GATEWAYS, config)
+            self.simulated_gateway_processes.append(process)
 
-    async def _start_real_gateways(self, configuration: FleetConfiguration) -> None:
+    async def _start_real_gateways(self, fleet_configuration: FleetConfiguration) -> None:
         command = tomllib.loads(DEPLOY_FILE.read_text())["run"]
         for index in range(self.plan.simulated_gateways, self.plan.fleet_size):
-            path = self._folder / f"n{index}-{self.endpoints}.json"
-            content = gateway_configuration.gateway_configuration(configuration, index)
+            path = self._directory / f"n{index}-{self.endpoint_count}.json"
+            content = gateway_configuration.create_gateway_configuration(fleet_configuration, index)
             path.write_bytes(msgspec.json.encode(content))
-            self.real_gateways.append(await self.group.start_gateway(command, path))
+            self.real_gateway_processes.append(await self.process_group.start_gateway(command, path))
 
     async def _wait_until_ready(self, started_at: float) -> list[str]:
         expected = self.plan.simulated_gateways
@@ -191,13 +196,15 @@
 
     async def _count_ready(self) -> int:
         ready = 0
-        for process in self.simulated_gateways:
+        for process in self.simulated_gateway_processes:
             reply = await process.execute(CountReady(), GatewayCount, READY_TIMEOUT_S)
             ready += reply.count
         return ready
 
     def _listening_addresses(self) -> list[str]:
-        matches = [LISTENING_LOG_LINE.search(process.stderr_tail) for process in self.real_gateways]
+        matches = [
+            LISTENING_LOG_PATTERN.search(process.stderr_tail) for process in self.real_gateway_processes
+        ]
         return [f"127.0.0.1:{match[1].decode()}" for match in matches if match]
 
     async def _start_load_generator(self, gateway_addresses: list[str]) -> None:
@@ -209,8 +216,8 @@
             requests_per_s=plan.real_requests_per_s,
             seed=plan.seed,
         )
-        self.load_generator, _ = await self.group.start_worker(ProcessRole.LOAD_GENERATOR, config)
+        self.load_generator, _ = await self.process_group.start_worker(ProcessRole.LOAD_GENERATOR, config)
 
 
-def _load_timeout_s(seconds: float) -> float:
+def _load_command_timeout_s(seconds: float) -> float:
     return 4 * seconds + 60
--- a/testbed/scale/measurement.py
+++ b/testbed/scale/measurement.py
@@ -27,7 +27,7 @@
     """State of a fleet at one moment.
 
     Attributes:
-        at_s: The time by `time.monotonic`, in seconds.
+        taken_at_s: The time by `time.monotonic`, in seconds.
         cpu_s: Processor time of each process so far, in seconds.
         discovery: Statistics of discovery.
         counter: Statistics of the counter.
@@ -35,7 +35,7 @@
         endpoint_connections_open: Connections that are open at the endpoints.
     """
 
-    at_s: float
+    taken_at_s: float
     cpu_s: dict[ChildProcess, float]
     discovery: DiscoveryStatistics
     counter: CounterStatistics
@@ -48,11 +48,11 @@
     discovery = await fleet.discovery.execute(ReadStatistics(), DiscoveryStatistics)
     counter = await fleet.counter.execute(ReadStatistics(), CounterStatistics)
     endpoints = [
-        await process.execute(ReadStatistics(), ServerStatistics) for process in fleet.endpoint_servers
+        await process.execute(ReadStatistics(), ServerStatistics) for process in fleet.endpoint_processes
     ]
     return Snapshot(
-        at_s=time.monotonic(),
-        cpu_s={process: process.cpu_s() for process in fleet.group.processes},
+        taken_at_s=time.monotonic(),
+        cpu_s={process: process.cpu_s() for process in fleet.process_group.processes},
         discovery=discovery,
         counter=counter,
         endpoint_connections_opened=sum(statistics.connections_opened for statistics in endpoints),
@@ -70,7 +70,7 @@
     @property
     def duration_s(self) -> float:
         """Duration in seconds."""
-        return self.end.at_s - self.start.at_s
+        return self.end.taken_at_s - self.start.taken_at_s
 
     def cpu_s(self, processes: Iterable[ChildProcess]) -> float:
         """Return the processor time that processes used, in seconds."""
@@ -117,13 +117,13 @@
 
 
 def _simulated_gateway_figures(fleet: Fleet, measurement: LoadMeasurement) -> RoleFigures:
-    processes, results = fleet.simulated_gateways, measurement.simulated_results
+    processes, results = fleet.simulated_gateway_processes, measurement.simulated_results
     gateways = fleet.plan.simulated_gateways
     requests = sum(result.requests_sent for result in results)
-    idle_cpu_share = measurement.idle.cpu_s(processes) / measurement.idle.duration_s
+    cpu_s_per_idle_s = measurement.idle.cpu_s(processes) / measurement.idle.duration_s
     load_cpu_s = measurement.load.cpu_s(processes)
-    request_cpu_s = (load_cpu_s - idle_cpu_share * measurement.load.duration_s) / max(requests, 1)
-    generator_cpu_s = _generator_cpu_s_per_request(fleet, measurement, idle_cpu_share)
+    cpu_s_per_request = (load_cpu_s - cpu_s_per_idle_s * measurement.load.duration_s) / max(requests, 1)
+    generator_cpu_s_per_request = _generator_cpu_s_per_request(fleet, measurement, cpu_s_per_idle_s)
     return RoleFigures(
         role=Role.SIMULATED_GATEWAY,
         processes=len(processes),
@@ -131,8 +131,8 @@
         requests=requests,
         served=sum(result.requests_served for result in results),
         cpu_s=load_cpu_s,
-        cpu_us_per_request=(request_cpu_s - generator_cpu_s) * MICROSECONDS_PER_S,
-        cpu_us_per_idle_s=idle_cpu_share / gateways * MICROSECONDS_PER_S,
+        cpu_us_per_request=(cpu_s_per_request - generator_cpu_s_per_request) * MICROSECONDS_PER_S,
+        cpu_us_per_idle_s=cpu_s_per_idle_s / gateways * MICROSECONDS_PER_S,
         added_ms=merge_percentiles(result.added_latency for result in results),
         memory_mb=sum(process.memory_mb() for process in processes) / gateways,
         connects_per_request=sum(result.connects for result in results) / max(requests, 1),
@@ -140,22 +140,24 @@
     )
 
 
-def _generator_cpu_s_per_request(fleet: Fleet, measurement: LoadMeasurement, idle_cpu_share: float) -> float:
+def _generator_cpu_s_per_request(
+    fleet: Fleet, measurement: LoadMeasurement, cpu_s_per_idle_s: float
+) -> float:
     """Processor time that the load generation itself takes in the gateways' processes."""
     calibration = measurement.calibration
-    cpu_s = calibration.cpu_s(fleet.simulated_gateways) - idle_cpu_share * calibration.duration_s
+    cpu_s = calibration.cpu_s(fleet.simulated_gateway_processes) - cpu_s_per_idle_s * calibration.duration_s
     requests = sum(result.requests_sent for result in measurement.calibration_results)
     return max(cpu_s, 0.0) / max(requests, 1)
 
 
 def _real_gateway_figures(fleet: Fleet, measurement: LoadMeasurement, result: LoadResult) -> RoleFigures:
-    processes = fleet.real_gateways
+    processes = fleet.real_gateway_processes
     requests = max(result.requests_sent, 1)
-    idle_cpu_share = measurement.idle.cpu_s(processes) / measurement.idle.duration_s
+    cpu_s_per_idle_s = measurement.idle.cpu_s(processes) / measurement.idle.duration_s
     load_cpu_s = measurement.load.cpu_s(processes)
-    request_cpu_s = (load_cpu_s - idle_cpu_share * measurement.load.duration_s) / requests
+    cpu_s_per_request = (load_cpu_s - cpu_s_per_idle_s * measurement.load.duration_s) / requests
     idle_end, load_end = measurement.idle.end, measurement.load.end
-    connects = load_end.endpoint_connections_opened - idle_end.endpoint_connections_opened
+    connections_opened = load_end.endpoint_connections_opened - idle_end.endpoint_connections_opened
     return RoleFigures(
         role=Role.REAL_GATEWAY,
         processes=len(processes),
@@ -163,9 +165,9 @@
         requests=result.requests_sent,
         served=result.requests_served,
         cpu_s=load_cpu_s,
-        cpu_us_per_request=request_cpu_s * MICROSECONDS_PER_S,
-        cpu_us_per_idle_s=idle_cpu_share / len(processes) * MICROSECONDS_PER_S,
-        connects_per_request=connects / requests,
+        cpu_us_per_request=cpu_s_per_request * MICROSECONDS_PER_S,
+        cpu_us_per_idle_s=cpu_s_per_idle_s / len(processes) * MICROSECONDS_PER_S,
+        connects_per_request=connections_opened / requests,
         connections=load_end.endpoint_connections_open / len(processes),
         added_ms=merge_percentiles([result.added_latency]),
         memory_mb=sum(process.memory_mb() for process in processes) / len(processes),
@@ -175,7 +177,7 @@
 def _server_figures(fleet: Fleet, measurement: LoadMeasurement, role: Role) -> RoleFigures:
     process = fleet.discovery if role is Role.DISCOVERY else fleet.counter
     idle, load, gateways = measurement.idle, measurement.load, fleet.plan.fleet_size
-    idle_cpu_share = idle.cpu_s([process]) / idle.duration_s
+    cpu_s_per_idle_s = idle.cpu_s([process]) / idle.duration_s
     requests_per_s, bytes_per_s = _traffic_per_gateway(load, role, gateways)
     idle_requests_per_s, idle_bytes_per_s = _traffic_per_gateway(idle, role, gateways)
     return RoleFigures(
@@ -183,7 +185,7 @@
         processes=1,
         gateways=gateways,
         cpu_s=load.cpu_s([process]),
-        cpu_us_per_idle_s=idle_cpu_share / gateways * MICROSECONDS_PER_S,
+        cpu_us_per_idle_s=cpu_s_per_idle_s / gateways * MICROSECONDS_PER_S,
         memory_mb=process.memory_mb(),
         requests_per_s=requests_per_s,
         bytes_per_s=bytes_per_s,
@@ -194,11 +196,11 @@
 
 def _traffic_per_gateway(interval: Interval, role: Role, gateways: int) -> tuple[float, float]:
     """Requests and bytes a second from each gateway."""
-    start, end = _statistics(interval.start, role), _statistics(interval.end, role)
+    start, end = _server_statistics(interval.start, role), _server_statistics(interval.end, role)
     gateway_seconds = interval.duration_s * gateways
     requests = end.requests - start.requests
     return requests / gateway_seconds, (end.bytes - start.bytes) / gateway_seconds
 
 
-def _statistics(snapshot: Snapshot, role: Role) -> ServerStatistics:
+def _server_statistics(snapshot: Snapshot, role: Role) -> ServerStatistics:
     return snapshot.discovery if role is Role.DISCOVERY else snapshot.counter
--- a/testbed/scale/plan.py
+++ b/testbed/scale/plan.py
@@ -6,14 +6,14 @@
 
 import msgspec
 
-GATEWAYS_PER_PROCESS = 100  # simulated gateways
+SIMULATED_GATEWAYS_PER_PROCESS = 100  # simulated gateways
 MIN_ENDPOINTS = 4
-PROCESS_MEMORY_MB = 60.0  # of a worker
+WORKER_MEMORY_MB = 60.0  # of a worker
 EMULATED_SYSTEM_PROCESSES = 5
 SIMULATED_GATEWAY_MEMORY_MB = 0.3  # without endpoints
 REAL_GATEWAY_MEMORY_MB = 40.0  # without endpoints
-ENDPOINT_MEMORY_MB = 1.0 / 1024  # of one endpoint in each gateway
-BYTES_PER_MB = 2**20
+ENDPOINT_LIST_ENTRY_MEMORY_MB = 1.0 / 1024  # of one endpoint in each gateway
+BYTES_PER_MIB = 2**20
 
 
 class Plan(
@@ -31,7 +31,7 @@
         "traffic_share_shape": "skew",
         "discovery_by_polling": "asked",
         "discovery_calls_per_s": "discovery_calls",
-        "counter_rejected_share": "turned_away",
+        "counter_rejected_fraction": "turned_away",
     },
 ):
     """One scale experiment, as given on the command line.
@@ -48,7 +48,7 @@
             smaller, the less even.
         discovery_by_polling: Whether discovery sends the endpoint list only on request.
         discovery_calls_per_s: Calls a second that discovery processes if it is polled.
-        counter_rejected_share: Part of the calls that the counter rejects while quotas are measured.
+        counter_rejected_fraction: Part of the calls that the counter rejects while quotas are measured.
         seed: Seed of all random draws.
     """
 
@@ -62,7 +62,7 @@
     traffic_share_shape: float = 1.0
     discovery_by_polling: bool = False
     discovery_calls_per_s: float = 400.0
-    counter_rejected_share: float = 0.6
+    counter_rejected_fraction: float = 0.6
     seed: int = 1
 
     @property
@@ -77,10 +77,10 @@
 
     def estimated_memory_mb(self) -> float:
         """Return about what all processes need with the largest endpoint list, in MiB."""
-        processes = self.simulated_gateways / GATEWAYS_PER_PROCESS + EMULATED_SYSTEM_PROCESSES
-        endpoints_mb = self.endpoints * ENDPOINT_MEMORY_MB
+        processes = self.simulated_gateways / SIMULATED_GATEWAYS_PER_PROCESS + EMULATED_SYSTEM_PROCESSES
+        endpoints_mb = self.endpoints * ENDPOINT_LIST_ENTRY_MEMORY_MB
         return (
-            PROCESS_MEMORY_MB * processes
+            WORKER_MEMORY_MB * processes
             + self.simulated_gateways * (SIMULATED_GATEWAY_MEMORY_MB + endpoints_mb)
             + self.real_gateways * (REAL_GATEWAY_MEMORY_MB + endpoints_mb)
         )
@@ -88,4 +88,4 @@
 
 def machine_memory_mb() -> float:
     """Return the memory of this machine in MiB."""
-    return os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES") / BYTES_PER_MB
+    return os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES") / BYTES_PER_MIB
--- a/testbed/scale/report.py
+++ b/testbed/scale/report.py
@@ -159,28 +159,28 @@
     frozen=True,
     kw_only=True,
     rename={
-        "configured_rejected_share": "turned_away",
-        "rejected_share": "calls_turned_away",
+        "configured_rejected_fraction": "turned_away",
+        "rejected_fraction": "calls_turned_away",
         "units_within_quota": "inside_units",
         "units_over_quota": "beyond_units",
-        "over_quota_share": "price",
+        "over_quota_ratio": "price",
     },
 ):
     """What is forwarded over quotas while the counter rejects calls.
 
     Attributes:
-        configured_rejected_share: Part of the calls that the counter was to reject.
-        rejected_share: Part of the calls that it rejected.
+        configured_rejected_fraction: Part of the calls that the counter was to reject.
+        rejected_fraction: Part of the calls that it rejected.
         units_within_quota: Units forwarded within the quotas.
         units_over_quota: Units forwarded over the quotas.
-        over_quota_share: Units over the quotas, divided by the units that the quotas allow.
+        over_quota_ratio: Units over the quotas, divided by the units that the quotas allow.
     """
 
-    configured_rejected_share: float
-    rejected_share: float
+    configured_rejected_fraction: float
+    rejected_fraction: float
     units_within_quota: float
     units_over_quota: float
-    over_quota_share: float
+    over_quota_ratio: float
 
 
 class Report(msgspec.Struct, frozen=True, kw_only=True, rename={"duration_s": "took_s"}):
--- a/testbed/scale/tables.py
+++ b/testbed/scale/tables.py
@@ -9,7 +9,7 @@
 
 from testbed.scale.report import Fit, Report, RoleFigures, SizeFigures
 
-BYTES_PER_KB = 1024
+BYTES_PER_KIB = 1024
 ROLE_COLUMNS = (
     "endpoints",
     "role",
@@ -48,14 +48,14 @@
         console.print(_fit_table(report.fits))
     quotas = report.quotas
     console.print(
-        f"Quotas with {quotas.rejected_share:.0%} of the counter's calls rejected: "
+        f"Quotas with {quotas.rejected_fraction:.0%} of the counter's calls rejected: "
         f"{quotas.units_over_quota:,.0f} units over quota, {quotas.units_within_quota:,.0f} within, "
-        f"share over quota {quotas.over_quota_share:.3f}"
+        f"share over quota {quotas.over_quota_ratio:.3f}"
     )
     console.print(f"{report.duration_s:.0f} s. " + " ".join(report.notes))
 
 
-def _format(value: float | None, digits: int = 1) -> str:
+def _format_number(value: float | None, digits: int = 1) -> str:
     return "-" if value is None else f"{value:,.{digits}f}"
 
 
@@ -76,19 +76,19 @@
 
 
 def _role_cells(figures: RoleFigures) -> list[str]:
-    added = figures.added_ms
+    added_latency = figures.added_ms
     return [
         figures.role.value,
-        _format(figures.cpu_us_per_request),
-        _format(figures.cpu_us_per_idle_s),
-        _format(added and added.p50, 2),
-        _format(added and added.p99, 2),
-        _format(added and added.p999, 2),
-        _format(figures.memory_mb),
-        _format(figures.connects_per_request, 3),
-        _format(figures.connections),
-        _format(figures.requests_per_s, 2),
-        _format(figures.bytes_per_s),
+        _format_number(figures.cpu_us_per_request),
+        _format_number(figures.cpu_us_per_idle_s),
+        _format_number(added_latency and added_latency.p50, 2),
+        _format_number(added_latency and added_latency.p99, 2),
+        _format_number(added_latency and added_latency.p999, 2),
+        _format_number(figures.memory_mb),
+        _format_number(figures.connects_per_request, 3),
+        _format_number(figures.connections),
+        _format_number(figures.requests_per_s, 2),
+        _format_number(figures.bytes_per_s),
     ]
 
 
@@ -98,13 +98,13 @@
         replacement = size.replacement
         table.add_row(
             str(size.endpoints),
-            _format(size.max_over_mean_load, 2),
-            _format(size.full_list_bytes / BYTES_PER_KB),
-            _format(size.start_s, 2),
-            _format(size.start_bytes_per_gateway / BYTES_PER_KB),
-            _format(replacement.endpoints_replaced, 0),
-            _format(replacement.propagation_s, 2),
-            _format(replacement.bytes_per_gateway / BYTES_PER_KB),
+            _format_number(size.max_over_mean_load, 2),
+            _format_number(size.full_list_bytes / BYTES_PER_KIB),
+            _format_number(size.start_s, 2),
+            _format_number(size.start_bytes_per_gateway / BYTES_PER_KIB),
+            _format_number(replacement.endpoints_replaced, 0),
+            _format_number(replacement.propagation_s, 2),
+            _format_number(replacement.bytes_per_gateway / BYTES_PER_KIB),
         )
     return table
 
@@ -114,10 +114,10 @@
     for fit in fits:
         table.add_row(
             f"{fit.figure} ({fit.unit})",
-            _format(fit.intercept, 2),
-            _format(fit.slope_per_1000_endpoints, 2),
-            _format(fit.residual_deviation, 2),
-            _format(fit.at_target, 1),
+            _format_number(fit.intercept, 2),
+            _format_number(fit.slope_per_1000_endpoints, 2),
+            _format_number(fit.residual_deviation, 2),
+            _format_number(fit.at_target, 1),
             "extrapolated" if fit.extrapolated else "",
         )
     return table
--- a/testbed/simulated_gateways.py
+++ b/testbed/simulated_gateways.py
@@ -26,7 +26,7 @@
 TENANT_WEIGHTS = (1, 1, 2, 2, 3, 4, 20)
 MIN_SLEEP_S = 0.0005  # shorter delays between arrivals are not worth a timer
 ARRIVALS_PER_YIELD = 64  # so that a late generator still lets the loop read responses
-LAST_RESPONSES_S = 0.5  # how long to wait for responses after the load
+FINAL_RESPONSE_WAIT_S = 0.5  # how long to wait for responses after the load
 
 
 class SimulatedClient:
@@ -62,7 +62,7 @@
         config: Configuration,
         loop: asyncio.AbstractEventLoop,
         endpoints: SimulatedEndpoints,
-        forwarded: list[ForwardedRequest],
+        forwarded_requests: list[ForwardedRequest],
     ) -> None:
         """Initialize the dispatcher.
 
@@ -70,10 +70,10 @@
             config: Configuration of the gateway.
             loop: The event loop.
             endpoints: What attempts are sent to.
-            forwarded: Gets each first attempt.
+            forwarded_requests: Gets each first attempt.
         """
         super().__init__(config, loop, functools.partial(SimulatedConnectionPool, endpoints))
-        self._forwarded = forwarded
+        self._forwarded_requests = forwarded_requests
 
     def _execute(self, action: Action) -> None:
         if isinstance(action, StartAttempt):
@@ -84,15 +84,15 @@
         request = self._request_handler.requests.get(request_id)
         if request is not None and not request.attempts:
             tenant = int(request.inbound.tenant, 16)
-            self._forwarded.append(ForwardedRequest(time.time(), tenant, request.inbound.units))
+            self._forwarded_requests.append(ForwardedRequest(time.time(), tenant, request.inbound.units))
 
     def open_connections(self) -> int:
         """Return the number of open connections to endpoints."""
         return self._pool.connections()
 
-    def connects(self) -> int:
+    def connections_opened(self) -> int:
         """Return the number of connections opened so far."""
-        return self._pool.connects
+        return self._pool.connections_opened
 
     def generation(self) -> int:
         """Return the generation of the known endpoint list, 0 without a list."""
@@ -105,7 +105,7 @@
     Attributes:
         endpoints: The simulated endpoints.
         dispatchers: One for each gateway.
-        forwarded: First attempts of all gateways.
+        forwarded_requests: First attempts of all gateways.
         requested_units: Units requested by each tenant.
         added_latency: Latency beyond the endpoint's service time.
         requests_sent: Requests so far.
@@ -133,9 +133,9 @@
         """
         loop = asyncio.get_running_loop()
         self.endpoints = SimulatedEndpoints(seed)
-        self.forwarded: list[ForwardedRequest] = []
+        self.forwarded_requests: list[ForwardedRequest] = []
         self.dispatchers = [
-            RecordingDispatcher(configuration, loop, self.endpoints, self.forwarded)
+            RecordingDispatcher(configuration, loop, self.endpoints, self.forwarded_requests)
             for configuration in configurations
         ]
         self.requested_units: dict[int, float] = {}
@@ -170,9 +170,9 @@
         """Return the number of gateways that know no endpoint list of this generation or a later one."""
         return sum(dispatcher.generation() < generation for dispatcher in self.dispatchers)
 
-    def connects(self) -> int:
+    def connections_opened(self) -> int:
         """Return the number of connections that all gateways have opened."""
-        return sum(dispatcher.connects() for dispatcher in self.dispatchers)
+        return sum(dispatcher.connections_opened() for dispatcher in self.dispatchers)
 
     def open_connections(self) -> int:
         """Return the number of open connections of all gateways."""
@@ -180,9 +180,9 @@
 
     def reset_records(self) -> None:
         """Clear what is recorded of each request; the counts of requests go on."""
-        self.forwarded.clear()
+        self.forwarded_requests.clear()
         self.requested_units.clear()
-        self.endpoints.attempts.clear()
+        self.endpoints.attempts_by_endpoint.clear()
 
     async def run_load(self, seconds: float) -> None:
         """Generate open-loop load, then wait for the last responses.
@@ -202,13 +202,15 @@
             elif self.requests_sent % ARRIVALS_PER_YIELD == 0:
                 await asyncio.sleep(0)
             self._send_request(due_at)
-        await asyncio.sleep(LAST_RESPONSES_S)
+        await asyncio.sleep(FINAL_RESPONSE_WAIT_S)
 
     def response_received(self, client: SimulatedClient, status: int) -> None:
         """Count one response."""
         if status == 200 and not self.bypass_gateways:
             self.requests_served += 1
-            self.added_latency.record(time.monotonic() - client.due_at - self.endpoints.current_service_s)
+            self.added_latency.record(
+                time.monotonic() - client.due_at - self.endpoints.current_service_time_s
+            )
 
     def _send_request(self, due_at: float) -> None:
         self.requests_sent += 1
@@ -218,7 +220,7 @@
         if self.bypass_gateways:
             client.respond(200)
             return
-        units = float(self._rng.choice(gateway_configuration.REQUEST_UNITS))
+        units = float(self._rng.choice(gateway_configuration.REQUEST_UNIT_CHOICES))
         self.requested_units[tenant] = self.requested_units.get(tenant, 0.0) + units
         dispatcher.submit(client, self._inbound_request(tenant, units))
 
@@ -233,7 +235,7 @@
     def _inbound_request(self, tenant: int, units: float) -> InboundRequest:
         return InboundRequest(
             wire_id=b"%x" % self.requests_sent,
-            class_name=gateway_configuration.class_of_request(self.requests_sent),
+            class_name=gateway_configuration.request_class_name(self.requests_sent),
             plan_name=gateway_configuration.PLAN_NAME,
             tenant=f"{tenant:016x}",
             time_left_ms=gateway_configuration.REQUEST_DEADLINE_MS,
--- a/testbed/simulated_pool.py
+++ b/testbed/simulated_pool.py
@@ -13,9 +13,9 @@
 from api_gateway.model.results import AttemptResult
 from api_gateway.network.response_parser import Response
 from api_gateway.network.upstream.attempt import Attempt
-from testbed.endpoint_server import MEAN_SERVICE_MS, SERVICE_VARIATION, ServiceTimes
+from testbed.endpoint_server import MEAN_SERVICE_TIME_MS, SERVICE_TIME_VARIATION_COEFFICIENT, ServiceTimes
 
-CONNECT_S = 0.002  # a round trip across zones, and the endpoint's work for it
+CONNECT_TIME_S = 0.002  # a round trip across zones, and the endpoint's work for it
 OK_RESPONSE = Response(200, {}, b"", True)
 
 
@@ -24,22 +24,22 @@
 
     Attributes:
         service_times: Distribution of the service times.
-        attempts: Attempts that reached each endpoint, by endpoint name.
-        current_service_s: Service time of the response that is being delivered, in seconds; 0 outside of a
-            delivery.
+        attempts_by_endpoint: Attempts that reached each endpoint, by endpoint name.
+        current_service_time_s: Service time of the response that is being delivered, in seconds; 0 outside of
+            a delivery.
     """
 
     def __init__(self, seed: int) -> None:
-        self.service_times = ServiceTimes(MEAN_SERVICE_MS, SERVICE_VARIATION, seed)
-        self.attempts: Counter[str] = Counter()
-        self.current_service_s = 0.0
+        self.service_times = ServiceTimes(MEAN_SERVICE_TIME_MS, SERVICE_TIME_VARIATION_COEFFICIENT, seed)
+        self.attempts_by_endpoint: Counter[str] = Counter()
+        self.current_service_time_s = 0.0
 
 
 class SimulatedConnectionPool:
     """Stands in for `ConnectionPool`; bound to its endpoints, it has the same constructor.
 
     Attributes:
-        connects: Connections opened so far.
+        connections_opened: Connections opened so far.
     """
 
     def __init__(
@@ -54,14 +54,14 @@
         close_if_abandoned: Callable[[Attempt], bool],
     ) -> None:
         self._endpoints = endpoints
-        self._loop, self._ended = loop, attempt_ended
+        self._loop, self._attempt_ended = loop, attempt_ended
         self._idle_timeout_s = (
             idle_timeout_ms / 2000
         )  # half of the time after which endpoints close connections
         self._accepts_requests: dict[str, bool] = {}  # by endpoint; draining ones accept none
-        self._idle: dict[str, deque[float]] = {}  # by endpoint: when each connection became idle
+        self._idle_since: dict[str, deque[float]] = {}  # by endpoint: when each connection became idle
         self._in_flight = 0
-        self.connects = 0
+        self.connections_opened = 0
 
     def start(self) -> None:
         """Do nothing: there is no socket to open."""
@@ -87,7 +87,7 @@
         """
         for name in removed:
             self._accepts_requests.pop(name, None)
-            self._idle.pop(name, None)
+            self._idle_since.pop(name, None)
         for name in addresses:
             self._accepts_requests[name] = name not in draining
 
@@ -107,7 +107,7 @@
 
     def connections(self) -> int:
         """Return the number of open connections, idle or with a request in flight."""
-        return self._in_flight + sum(len(self._idle_connections(name)) for name in list(self._idle))
+        return self._in_flight + sum(len(self._idle_connections(name)) for name in list(self._idle_since))
 
     def send(self, attempt: Attempt) -> None:
         """Send an attempt on an idle connection or a new one."""
@@ -115,32 +115,34 @@
             self._loop.call_soon(self._end, attempt, AttemptResult.CONNECT_FAILED, None)
             return
         idle = self._idle_connections(attempt.endpoint)
-        service_s = round(self._endpoints.service_times.draw(), 3)  # timers of the loop count milliseconds
+        service_time_s = round(
+            self._endpoints.service_times.draw(), 3
+        )  # timers of the loop count milliseconds
         connect_s = 0.0
         if idle:
             idle.pop()
         else:
-            self.connects += 1
-            connect_s = CONNECT_S
+            self.connections_opened += 1
+            connect_s = CONNECT_TIME_S
         self._in_flight += 1
-        self._endpoints.attempts[attempt.endpoint] += 1
-        self._loop.call_later(service_s + connect_s, self._respond, attempt, service_s)
+        self._endpoints.attempts_by_endpoint[attempt.endpoint] += 1
+        self._loop.call_later(service_time_s + connect_s, self._respond, attempt, service_time_s)
 
     def _idle_connections(self, name: str) -> deque[float]:
-        idle = self._idle.setdefault(name, deque())
+        idle = self._idle_since.setdefault(name, deque())
         while idle and idle[0] < self._loop.time() - self._idle_timeout_s:
             idle.popleft()
         return idle
 
-    def _respond(self, attempt: Attempt, service_s: float) -> None:
+    def _respond(self, attempt: Attempt, service_time_s: float) -> None:
         self._in_flight -= 1
         if attempt.endpoint in self._accepts_requests:
-            self._idle.setdefault(attempt.endpoint, deque()).append(self._loop.time())
-        self._endpoints.current_service_s = service_s
+            self._idle_since.setdefault(attempt.endpoint, deque()).append(self._loop.time())
+        self._endpoints.current_service_time_s = service_time_s
         self._end(attempt, AttemptResult.OK, OK_RESPONSE)
-        self._endpoints.current_service_s = 0.0
+        self._endpoints.current_service_time_s = 0.0
 
-    def _end(self, attempt: Attempt, result: AttemptResult, reply: Response | None) -> None:
+    def _end(self, attempt: Attempt, result: AttemptResult, response: Response | None) -> None:
         if not attempt.done:
             attempt.done = True
-            self._ended(attempt, result, reply)
+            self._attempt_ended(attempt, result, response)
--- a/testbed/worker.py
+++ b/testbed/worker.py
@@ -19,8 +19,8 @@
 from testbed.discovery_server import LIFECYCLE_GONE, DiscoveryServer
 from testbed.endpoint_server import EndpointServer
 from testbed.errors import UnsupportedCommandError
-from testbed.gateway_configuration import gateway_configuration
-from testbed.http_server import TrafficCounters, serve
+from testbed.gateway_configuration import create_gateway_configuration
+from testbed.http_server import TrafficStatistics, serve
 from testbed.load_generator import GatewayAddress, LoadGenerator
 from testbed.messages import (
     Command,
@@ -47,7 +47,7 @@
 )
 from testbed.simulated_gateways import SimulatedFleet
 
-MAX_LINE_BYTES = 64 * 1024 * 1024
+MAX_INPUT_LINE_BYTES = 64 * 1024 * 1024
 
 
 class Worker(Protocol):
@@ -70,10 +70,10 @@
     return Started(addresses=[f"{host}:{port}" for host, port in addresses])
 
 
-def _traffic_fields(traffic: TrafficCounters) -> dict[str, int]:
+def _traffic_fields(traffic: TrafficStatistics) -> dict[str, int]:
     return {
         "requests": traffic.requests,
-        "bytes": traffic.bytes_in + traffic.bytes_out,
+        "bytes": traffic.bytes_received + traffic.bytes_sent,
         "connections_opened": traffic.connections_opened,
         "connections_open": traffic.connections_open,
     }
@@ -114,7 +114,7 @@
             for instance in removed
         ]
         gone = [msgspec.structs.replace(instance, lifecycle=LIFECYCLE_GONE) for instance in removed]
-        self._server.replace(gone + added)
+        self._server.publish_changes(gone + added)
 
 
 class CounterWorker:
@@ -131,7 +131,7 @@
         """Execute one command, and return the statistics after it."""
         match command:
             case SetRejectedShare(share=share):
-                self._server.rejected_share = share
+                self._server.rejected_fraction = share
             case ReadStatistics():
                 pass
             case _:
@@ -169,7 +169,7 @@
     def __init__(self, config: SimulatedGatewaysConfig) -> None:
         indexes = range(config.first_index, config.first_index + config.count)
         self._fleet = SimulatedFleet(
-            [parse(gateway_configuration(config.fleet, index)) for index in indexes],
+            [parse(create_gateway_configuration(config.fleet, index)) for index in indexes],
             tenants=config.tenants,
             requests_per_s=config.requests_per_s,
             traffic_share_shape=config.traffic_share_shape,
@@ -197,17 +197,17 @@
         fleet = self._fleet
         fleet.bypass_gateways = command.bypass_gateways
         sent_before, served_before = fleet.requests_sent, fleet.requests_served
-        connects_before = fleet.connects()
+        connections_opened_before = fleet.connections_opened()
         fleet.reset_records()
         await fleet.run_load(command.seconds)
         return SimulatedLoadResult(
             requests_sent=fleet.requests_sent - sent_before,
             requests_served=fleet.requests_served - served_before,
             added_latency=fleet.added_latency.encode(),
-            connects=fleet.connects() - connects_before,
+            connects=fleet.connections_opened() - connections_opened_before,
             open_connections=fleet.open_connections(),
-            attempts_by_endpoint=dict(fleet.endpoints.attempts),
-            forwarded=list(fleet.forwarded) if command.include_requests else [],
+            attempts_by_endpoint=dict(fleet.endpoints.attempts_by_endpoint),
+            forwarded=list(fleet.forwarded_requests) if command.include_requests else [],
             requested_units=fleet.requested_units if command.include_requests else {},
         )
 
@@ -259,7 +259,7 @@
 
 
 async def _open_standard_input() -> asyncio.StreamReader:
-    reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
+    reader = asyncio.StreamReader(limit=MAX_INPUT_LINE_BYTES)
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     return reader
--- a/tests/test_testbed_scale.py
+++ b/tests/test_testbed_scale.py
@@ -24,10 +24,10 @@
 from testbed.scale.plan import Plan
 from testbed.scale.report import Report, Role
 
-REPORT_OF_THE_CAPACITY_PAGE = ROOT / "docs" / "scale-300x11000.json"
+PUBLISHED_REPORT_PATH = ROOT / "docs" / "scale-300x11000.json"
 
 
-def test_quotas_are_accounted_to_exact_token_buckets() -> None:
+def test_account_quotas_matches_exact_token_buckets() -> None:
     forwarded = [
         ForwardedRequest(0.0, 1, 3.0),
         ForwardedRequest(0.1, 1, 2.0),
@@ -40,7 +40,7 @@
     assert usage.units_allowed == 9.0 + 1.0 + 14.0
 
 
-def test_a_line_is_fitted_with_the_deviation_of_its_residuals() -> None:
+def test_fit_line_returns_slope_intercept_and_residual_deviation() -> None:
     line = fit_line([1, 2, 3, 4], [3.0, 5.0, 7.0, 9.0])
     assert (line.intercept, line.slope, line.residual_deviation) == pytest.approx((1.0, 2.0, 0.0), abs=1e-9)
     rng = random.Random(1)
@@ -51,13 +51,13 @@
         fit_line([1, 2], [1, 2])
 
 
-def test_a_plan_has_three_sizes_and_estimates_its_memory() -> None:
+def test_plan_has_three_list_sizes_and_estimates_memory() -> None:
     plan = Plan(simulated_gateways=670, endpoints=11_000)
     assert len(plan.endpoint_counts()) == 3 and plan.endpoint_counts()[-1] == 11_000
     assert Plan(simulated_gateways=2000, endpoints=50_000).estimated_memory_mb() > 50_000
 
 
-def run_command(*arguments: str) -> subprocess.CompletedProcess:
+def run_testbed(*arguments: str) -> subprocess.CompletedProcess:
     return subprocess.run(
         [sys.executable, "-m", "testbed", *arguments],
         cwd=ROOT,
@@ -80,14 +80,14 @@
         ["scale", "--gateways", "2000", "--hosts", "50000"],
     ],
 )
-def test_bad_arguments_exit_with_status_2_and_one_plain_line(arguments: list[str]) -> None:
-    result = run_command(*arguments)
+def test_bad_arguments_exit_with_status_2_and_a_one_line_error(arguments: list[str]) -> None:
+    result = run_testbed(*arguments)
     assert result.returncode == 2 and not result.stdout
     assert len(result.stderr.splitlines()) == 1 and result.stderr.startswith("testbed: ")
 
 
 @pytest.fixture(scope="module")
-def small_run(tmp_path_factory: pytest.TempPathFactory) -> tuple[bytes, str]:
+def small_experiment(tmp_path_factory: pytest.TempPathFactory) -> tuple[bytes, str]:
     """Report file and standard output of a small experiment."""
     path = tmp_path_factory.mktemp("scale") / "report.json"
     options = {
@@ -100,13 +100,13 @@
         "--real-rate": "40",
         "--json": str(path),
     }
-    result = run_command("scale", *(word for option in options.items() for word in option))
+    result = run_testbed("scale", *(word for option in options.items() for word in option))
     assert result.returncode == 0, result.stderr
     return path.read_bytes(), result.stdout
 
 
-def test_a_small_run_reports_every_role(small_run: tuple[bytes, str]) -> None:
-    encoded_report, output = small_run
+def test_small_experiment_reports_every_role(small_experiment: tuple[bytes, str]) -> None:
+    encoded_report, output = small_experiment
     report = msgspec.json.decode(encoded_report, type=Report)
     assert [size.endpoints for size in report.sizes] == [10, 30, 90]
     for size in report.sizes:
@@ -125,29 +125,31 @@
         assert size.max_over_mean_load >= 1 and size.full_list_bytes > 100 * size.endpoints
     assert {fit.figure for fit in report.fits} >= {"hollow gateway: cpu_us_per_request", "whole list"}
     assert all(fit.extrapolated for fit in report.fits)
-    assert 0.3 < report.quotas.rejected_share < 0.9
+    assert 0.3 < report.quotas.rejected_fraction < 0.9
     assert "extrapolated" in output
 
 
-def keys_of(value: object) -> object:
+def nested_keys(value: object) -> object:
     """Return the keys of nested objects in their order; a list stands for its first entry."""
     if isinstance(value, dict):
-        return [(key, keys_of(entry)) for key, entry in value.items()]
+        return [(key, nested_keys(entry)) for key, entry in value.items()]
     if isinstance(value, list) and value:
-        return [keys_of(value[0])]
+        return [nested_keys(value[0])]
     return None
 
 
-def names_of_figures(report: dict) -> list[str]:
+def figure_names(report: dict) -> list[str]:
     roles = [figures["role"] for figures in report["sizes"][0]["roles"]]
     return roles + [fit["figure"] for fit in report["fits"]]
 
 
-def test_a_report_has_the_keys_and_figures_of_the_capacity_page(small_run: tuple[bytes, str]) -> None:
-    report = json.loads(small_run[0])
-    published = json.loads(REPORT_OF_THE_CAPACITY_PAGE.read_text())
-    assert keys_of(report) == keys_of(published)
-    assert names_of_figures(report) == names_of_figures(published)
+def test_report_has_the_keys_and_figure_names_of_the_published_one(
+    small_experiment: tuple[bytes, str],
+) -> None:
+    report = json.loads(small_experiment[0])
+    published = json.loads(PUBLISHED_REPORT_PATH.read_text())
+    assert nested_keys(report) == nested_keys(published)
+    assert figure_names(report) == figure_names(published)
 
 
 def child_pids(pid: int) -> list[int]:
@@ -155,25 +157,25 @@
 
 
 def test_ctrl_c_ends_every_process() -> None:
-    run = subprocess.Popen(
+    experiment_process = subprocess.Popen(
         [sys.executable, "-m", "testbed", "scale", "--gateways", "4", "--hosts", "36", "--seconds", "60"],
         cwd=ROOT,
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
         text=True,
     )
-    while len(started := child_pids(run.pid)) < 3:
-        assert run.poll() is None
-    run.send_signal(signal.SIGINT)
-    _, errors = run.communicate(timeout=30)
-    assert run.returncode == 130 and "all processes are ended" in errors
-    for pid in started:
+    while len(started_pids := child_pids(experiment_process.pid)) < 3:
+        assert experiment_process.poll() is None
+    experiment_process.send_signal(signal.SIGINT)
+    _, errors = experiment_process.communicate(timeout=30)
+    assert experiment_process.returncode == 130 and "all processes are ended" in errors
+    for pid in started_pids:
         with contextlib.suppress(ProcessLookupError):
             os.kill(pid, 0)
             assert "testbed" not in Path(f"/proc/{pid}/cmdline").read_text()
 
 
-def test_a_failed_process_is_reported_and_the_others_are_ended() -> None:
+def test_process_group_reports_a_failed_worker_and_ends_the_others() -> None:
     async def scenario() -> None:
         async with ProcessGroup(5) as group:
             with pytest.raises(ProcessError, match="counter: process ended: "):
--- a/tests/test_testbed_servers.py
+++ b/tests/test_testbed_servers.py
@@ -31,7 +31,7 @@
     return responses
 
 
-def instances(count: int) -> list[Instance]:
+def create_test_instances(count: int) -> list[Instance]:
     return create_instances(count, ["127.0.0.1:9"])
 
 
@@ -41,7 +41,7 @@
 
 def test_discovery_sends_the_full_list_then_changes_and_holds_long_polls() -> None:
     async def scenario() -> None:
-        discovery = DiscoveryServer(instances(30))
+        discovery = DiscoveryServer(create_test_instances(30))
         server = await serve(discovery.handle, discovery.traffic)
         ((status, body),) = await send_pipelined(server, "GET /v1/endpoints")
         full_list = decode_list(body)
@@ -53,7 +53,7 @@
         while not discovery.has_long_polls():
             await asyncio.sleep(0)
         removed = next(iter(discovery.instances.values()))
-        discovery.replace(
+        discovery.publish_changes(
             [
                 msgspec.structs.replace(removed, lifecycle="gone"),
                 Instance("s-new", "127.0.0.1:9", "zone-1"),
@@ -67,7 +67,11 @@
 
         ((_, body),) = await send_pipelined(server, f"GET /v1/endpoints?after={changes.generation}&wait_ms=1")
         assert decode_list(body).endpoints == ()
-        assert (discovery.full_lists, discovery.change_lists, discovery.empty_lists) == (1, 1, 1)
+        assert (discovery.full_lists_sent, discovery.change_lists_sent, discovery.empty_lists_sent) == (
+            1,
+            1,
+            1,
+        )
         assert discovery.traffic.requests == 3
 
     run_scenario(scenario)
@@ -75,7 +79,7 @@
 
 def test_rate_limited_discovery_rejects_calls_beyond_its_queue() -> None:
     async def scenario() -> None:
-        discovery = DiscoveryServer(instances(5), calls_per_s=100, max_queue_s=0.05)
+        discovery = DiscoveryServer(create_test_instances(5), calls_per_s=100, max_queue_delay_s=0.05)
         server = await serve(discovery.handle, discovery.traffic)
         responses = await send_pipelined(server, *["GET /v1/endpoints"] * 30)
         assert 3 <= sum(status == 200 for status, _ in responses) <= 10
@@ -89,9 +93,9 @@
 INCREMENT_LATE = "POST /v1/count/late?add=1&ttl_ms=60000"
 
 
-def test_counter_adds_and_expires_totals_and_rejects_malformed_calls() -> None:
+def test_counter_adds_and_expires_counts_and_rejects_malformed_calls() -> None:
     async def scenario() -> None:
-        counter = CounterServer(10_000, rejected_share=0.0)
+        counter = CounterServer(10_000, rejected_fraction=0.0)
         server = await serve(counter.handle, counter.traffic)
         assert await send_pipelined(server, INCREMENT_A, INCREMENT_EXPIRING, INCREMENT_A) == [
             (200, b"2.5"),
@@ -108,14 +112,14 @@
     run_scenario(scenario)
 
 
-def test_counter_rejects_a_share_of_the_calls_without_adding_them() -> None:
+def test_counter_rejects_a_fraction_of_the_calls_without_adding_them() -> None:
     async def scenario() -> None:
-        counter = CounterServer(10_000, rejected_share=0.6)
+        counter = CounterServer(10_000, rejected_fraction=0.6)
         server = await serve(counter.handle, counter.traffic)
         responses = await send_pipelined(server, *[INCREMENT_A] * 500)
         rejected = sum(status == 503 for status, _ in responses)
         assert 250 < rejected < 350
-        counter.rejected_share = 0.0
+        counter.rejected_fraction = 0.0
         expected = 2.5 * (501 - rejected)
         assert await send_pipelined(server, INCREMENT_A) == [(200, f"{expected:.7g}".encode())]
 
@@ -126,12 +130,12 @@
     async def scenario() -> None:
         counter = CounterServer(10_000)
         server = await serve(counter.handle, counter.traffic)
-        counter.late_share = 1.0
+        counter.late_fraction = 1.0
         late_call = asyncio.create_task(send_pipelined(server, INCREMENT_LATE))
-        while "late" not in counter._totals:
+        while "late" not in counter._counts:
             await asyncio.sleep(0)
         assert counter.calls == 1 and not late_call.done()
-        counter.late_share = 0.0
+        counter.late_fraction = 0.0
         assert await send_pipelined(server, INCREMENT_LATE) == [(200, b"2")]
         late_call.cancel()
 
@@ -140,7 +144,7 @@
 
 def test_counter_limits_its_calls_a_second() -> None:
     async def scenario() -> None:
-        counter = CounterServer(1000, partitions=1, max_queue_s=0.02)
+        counter = CounterServer(1000, partitions=1, max_queue_delay_s=0.02)
         server = await serve(counter.handle, counter.traffic)
         responses = await send_pipelined(server, *["POST /v1/count/a?add=1&ttl_ms=60000"] * 200)
         statuses = [status for status, _ in responses]
