--- a/api_gateway/decisions/attempt_flow.py
+++ b/api_gateway/decisions/attempt_flow.py
@@ -29,14 +29,14 @@
         settings: The gateway's settings.
         actions: Where the attempts and answers are added.
         rejections: Answers that a request was not served.
-        pending: The requests with attempts.
-        selector: Chooses among the endpoints.
+        pending_requests: The requests with attempts.
+        endpoint_selector: Chooses among the endpoints.
         slow_start: Keeps the budgets of those that are warming up.
-        outliers: Judges endpoints.
+        outlier_detector: Judges endpoints.
         retry_policy: The rules on attempts.
-        sampler: Samples the load.
+        load_sampler: Samples the load.
         admission: Keeps the latency of each class.
-        reporter: Reports units that were used.
+        usage_reporter: Reports units that were used.
         traffic: The gateway's rates.
         latency: Typical latencies of the classes.
     """
@@ -46,66 +46,66 @@
         settings: Settings,
         actions: list[Action],
         rejections: Rejections,
-        pending: PendingRequests,
-        selector: EndpointSelector,
+        pending_requests: PendingRequests,
+        endpoint_selector: EndpointSelector,
         slow_start: SlowStart,
-        outliers: OutlierDetector,
+        outlier_detector: OutlierDetector,
         retry_policy: RetryPolicy,
-        sampler: LoadSampler,
+        load_sampler: LoadSampler,
         admission: AdmissionController,
-        reporter: UsageReporter,
+        usage_reporter: UsageReporter,
         traffic: TrafficRates,
         latency: TypicalLatency,
     ) -> None:
         self._is_cancellation_supported = settings.cancellation_supported
         self._actions = actions
         self._rejections = rejections
-        self._pending = pending
-        self._selector = selector
+        self._pending_requests = pending_requests
+        self._endpoint_selector = endpoint_selector
         self._slow_start = slow_start
-        self._outliers = outliers
+        self._outlier_detector = outlier_detector
         self._retry_policy = retry_policy
-        self._sampler = sampler
+        self._load_sampler = load_sampler
         self._class_latencies = admission.occupancy.classes
-        self._reporter = reporter
+        self._usage_reporter = usage_reporter
         self._traffic = traffic
         self._latency = latency
 
     def start(self, pending: PendingRequest, endpoint: EndpointState, now_ms: float) -> None:
         """Start an attempt of a request at an endpoint."""
         action = self._retry_policy.attempt_action(pending, endpoint, now_ms)
-        block = self._class_latencies[pending.class_name].start_attempt(now_ms)
-        self._pending.start_attempt(pending, Attempt(endpoint, now_ms, block))
+        latency_block = self._class_latencies[pending.class_name].start_attempt(now_ms)
+        self._pending_requests.start_attempt(pending, Attempt(endpoint, now_ms, latency_block))
         self._traffic.record_attempt()
-        self._slow_start.record_attempt(endpoint, pending.work, now_ms)
+        self._slow_start.record_attempt(endpoint, pending.work_ms, now_ms)
         self._actions.append(action)
 
-    def record_end(self, event: AttemptEnded, now_ms: float) -> None:
+    def record_attempt_end(self, event: AttemptEnded, now_ms: float) -> None:
         """Take in the end of an attempt: learn from it, then answer, retry or give up."""
-        pending = self._pending.get(event.request_id)
+        pending = self._pending_requests.get(event.request_id)
         if pending is None or not 0 <= event.attempt < len(pending.attempts):
             return
         attempt = pending.attempts[event.attempt]
         if not attempt.is_in_flight:
             return
-        self._pending.end_attempt(attempt, event.result.never_ran)
-        self._sampler.record_outcome(pending, attempt, event, now_ms)
+        self._pending_requests.end_attempt(attempt, event.result.never_ran)
+        self._load_sampler.record_outcome(pending, attempt, event, now_ms)
         if event.result is not AttemptResult.NOT_STARTED:
-            self._judge_endpoint(pending, attempt.endpoint, event, now_ms)
+            self._record_endpoint_result(pending, attempt.endpoint, event, now_ms)
         if event.result is AttemptResult.OK:
             self._charge_actual_units(pending, event.actual_units, now_ms)
-        if event.is_final or event.result is AttemptResult.OK or pending.is_answered:
+        if event.is_final or event.result is AttemptResult.OK or pending.is_finished:
             self.finish(pending)
         elif not pending.has_attempt_in_flight() and not self._retry(pending, event, now_ms):
             self._give_up(pending)
 
-    def _judge_endpoint(
+    def _record_endpoint_result(
         self, pending: PendingRequest, endpoint: EndpointState, event: AttemptEnded, now_ms: float
     ) -> None:
         class_name, units = pending.class_name, pending.units
-        expected_ms = self._latency.expected_ms(class_name, units)
+        expected_latency_ms = self._latency.expected_ms(class_name, units)
         objective_ms = pending.request_class.latency_objective_ms
-        self._outliers.record_outcome(endpoint, event, expected_ms, objective_ms, now_ms)
+        self._outlier_detector.record_result(endpoint, event, expected_latency_ms, objective_ms, now_ms)
         if event.result is AttemptResult.OK:
             self._latency.record(class_name, event.duration_ms, event.actual_units or units)
             self._traffic.record_completion()
@@ -115,7 +115,7 @@
         tenant = pending.tenant
         if actual_units > 0 and tenant.plan.quota_rate > 0:
             tenant.quota.spend(actual_units - pending.units)
-            self._reporter.report(tenant, now_ms)
+            self._usage_reporter.report(tenant, now_ms)
 
     def _retry(self, pending: PendingRequest, event: AttemptEnded, now_ms: float) -> bool:
         """Start another attempt, if it can be in time and is paid for; whether there is one.
@@ -127,7 +127,7 @@
         cost = self._retry_policy.retry_cost(pending, event)
         if not self._retry_policy.is_retry_worthwhile(pending, cost, now_ms):
             return False
-        endpoint = self._selector.select(pending, now_ms)
+        endpoint = self._endpoint_selector.select(pending, now_ms)
         if endpoint is None:
             return False
         self._retry_policy.budget.spend(cost)
@@ -136,17 +136,17 @@
 
     def mark_streaming(self, event: ResponseStarted) -> None:
         """Note that a streamed answer has begun."""
-        pending = self._pending.get(event.request_id)
+        pending = self._pending_requests.get(event.request_id)
         if pending is not None:
             pending.is_streaming = True
 
     def finish(self, pending: PendingRequest) -> None:
         """Send no more of a request; cancel its attempts in flight, and wait for their ends."""
         in_flight = [i for i, attempt in enumerate(pending.attempts) if attempt.is_in_flight]
-        if self._is_cancellation_supported and not pending.is_streaming and not pending.is_answered:
+        if self._is_cancellation_supported and not pending.is_streaming and not pending.is_finished:
             self._actions.extend(CancelAttempt(pending.request_id, i) for i in in_flight)
-        pending.is_answered = True
-        if not in_flight and self._pending.remove(pending):
+        pending.is_finished = True
+        if not in_flight and self._pending_requests.remove(pending):
             pending.tenant.in_flight -= 1
 
     def _give_up(self, pending: PendingRequest) -> None:
--- a/api_gateway/decisions/endpoints.py
+++ b/api_gateway/decisions/endpoints.py
@@ -22,10 +22,10 @@
         consecutive_failures: Failures since its last success, while it is not ejected.
         ejection_count: Ejections since its last success; it stays ejected until then.
         ejected_until_ms: When the next probe may be sent to it.
-        connect_failed: Whether connections to it failed: at its next success it may have just started.
-        idle_connection_at_ms: When an answer last left a connection to it idle.
+        has_connect_failure: Whether connections to it failed: at its next success it may have just started.
+        connection_idle_since_ms: When an answer last left a connection to it idle.
         started_at_ms: When its process started, by the list; 0 for long ago.
-        slow_start_from_ms: When its slow start began; 0 for long ago.
+        slow_start_began_at_ms: When its slow start began; 0 for long ago.
         slow_start_budget: Work that may be sent to it while it warms up, as of `slow_start_budget_at_ms`.
         last_attempt_at_ms: When it was sent an attempt last.
         last_time_slot: The last time slot of the fleet in which it was sent a single request.
@@ -38,10 +38,10 @@
         self.consecutive_failures = 0
         self.ejection_count = 0
         self.ejected_until_ms = 0.0
-        self.connect_failed = False
-        self.idle_connection_at_ms = LONG_AGO_MS
+        self.has_connect_failure = False
+        self.connection_idle_since_ms = LONG_AGO_MS
         self.started_at_ms = 0.0
-        self.slow_start_from_ms = 0.0
+        self.slow_start_began_at_ms = 0.0
         self.slow_start_budget = 0.0
         self.slow_start_budget_at_ms = 0.0
         self.last_attempt_at_ms = 0.0
@@ -60,14 +60,14 @@
         self.weight = max(endpoint.weight, MIN_WEIGHT)
         self.is_up = endpoint.status is EndpointStatus.UP
         if endpoint.started_at_ms > self.started_at_ms:
-            self.started_at_ms = self.slow_start_from_ms = endpoint.started_at_ms
+            self.started_at_ms = self.slow_start_began_at_ms = endpoint.started_at_ms
             self.slow_start_budget = 0.0
             self.consecutive_failures = self.ejection_count = 0
             self.ejected_until_ms = 0.0
-            self.connect_failed = False
+            self.has_connect_failure = False
             self.latency_ratio = 1.0
 
-    def is_placed_as(self, endpoint: Endpoint) -> bool:
+    def has_same_placement(self, endpoint: Endpoint) -> bool:
         """Whether an entry leaves its zone, its failure domain and whether it is up as they are."""
         is_up = endpoint.status is EndpointStatus.UP
         return (self.zone, self.failure_domain, self.is_up) == (endpoint.zone, endpoint.failure_domain, is_up)
@@ -126,7 +126,7 @@
         elif state is None:
             state = self._endpoints[endpoint.name] = EndpointState(endpoint)
             self._index(state)
-        elif state.is_placed_as(endpoint):
+        elif state.has_same_placement(endpoint):
             state.update(endpoint)
             self.mark_changed()
         else:
--- a/api_gateway/decisions/gateway.py
+++ b/api_gateway/decisions/gateway.py
@@ -25,7 +25,7 @@
 from api_gateway.decisions.selection import EndpointSelector
 from api_gateway.decisions.slow_start import SlowStart
 from api_gateway.decisions.subset import EndpointSubset
-from api_gateway.decisions.subset_sizing import PRESSED_FRACTION, SubsetSizer
+from api_gateway.decisions.subset_sizing import OVERLOADED_ADMITTED_FRACTION, SubsetSizer
 from api_gateway.decisions.tenants import TenantTable
 from api_gateway.decisions.traffic import TrafficRates
 from api_gateway.decisions.uptime import SWEEP_TIMER, SweepTimer, Uptime
@@ -47,7 +47,7 @@
 from api_gateway.model.settings import Settings
 
 SUBSCRIBE_TIMER = "subscribe"
-SUBSCRIBE_BACKOFF_MS = (
+MIN_SUBSCRIBE_BACKOFF_MS = (
     500.0  # least pause after a failed call for the endpoint list; jitter adds as much again
 )
 
@@ -74,19 +74,19 @@
         self.uptime = Uptime()
         self.sweep_timer = SweepTimer()
         self.log = RateLimitedLog(self._actions)
-        self._build_load()
+        self._build_admission()
         self._build_endpoints()
         self._build_tenants()
-        self._build_sampler()
-        self._build_flow()
+        self._build_load_sampler()
+        self._build_request_flow()
         self._handlers = self._event_handlers()
 
-    def _build_load(self) -> None:
+    def _build_admission(self) -> None:
         """Build what measures the load and admits requests."""
         self.admission = AdmissionController(self.settings.classes)
         self.latency = TypicalLatency(self.settings.classes)
         self.traffic = TrafficRates()
-        self.pending = PendingRequests()
+        self.pending_requests = PendingRequests()
 
     def _build_endpoints(self) -> None:
         """Build what knows the endpoints and chooses among them."""
@@ -94,22 +94,22 @@
         self.endpoints = EndpointTable()
         self.subset = EndpointSubset(self.endpoints, settings, self.rng)
         self.subset_sizer = SubsetSizer(self.subset, settings, self.traffic)
-        self.outliers = OutlierDetector(self.endpoints, self.log)
+        self.outlier_detector = OutlierDetector(self.endpoints, self.log)
         self.probe_budget = ProbeBudget()
         self.retry_policy = RetryPolicy(settings, self.latency, self.admission.occupancy)
         self.slow_start = SlowStart(
             settings=settings,
-            table=self.endpoints,
+            endpoint_table=self.endpoints,
             subset=self.subset,
             traffic=self.traffic,
             latency=self.latency,
             uptime=self.uptime,
             rng=self.rng,
         )
-        self.selector = EndpointSelector(
-            table=self.endpoints,
+        self.endpoint_selector = EndpointSelector(
+            endpoint_table=self.endpoints,
             subset=self.subset,
-            sizer=self.subset_sizer,
+            subset_sizer=self.subset_sizer,
             slow_start=self.slow_start,
             retry_policy=self.retry_policy,
             probe_budget=self.probe_budget,
@@ -119,56 +119,56 @@
     def _build_tenants(self) -> None:
         """Build what keeps the tenants' quotas."""
         self.counter_health = CounterHealth(self.log, self.rng)
-        self.reporter = UsageReporter(self.settings, self.counter_health, self.rng, self._actions)
+        self.usage_reporter = UsageReporter(self.settings, self.counter_health, self.rng, self._actions)
         self.tenants = TenantTable(
             settings=self.settings,
             uptime=self.uptime,
             conditions=QuotaConditions(self.admission, self.counter_health, self.rng),
-            on_forget=self.reporter.forget_calls,
+            on_forget=self.usage_reporter.forget_calls,
         )
 
-    def _build_sampler(self) -> None:
+    def _build_load_sampler(self) -> None:
         """Build what measures the load by the ends of attempts."""
-        self.sampler = LoadSampler(
+        self.load_sampler = LoadSampler(
             settings=self.settings,
             admission=self.admission,
-            pending=self.pending,
+            pending=self.pending_requests,
             subset=self.subset,
-            outliers=self.outliers,
+            outliers=self.outlier_detector,
             traffic=self.traffic,
             uptime=self.uptime,
             sweep_timer=self.sweep_timer,
             log=self.log,
         )
 
-    def _build_flow(self) -> None:
+    def _build_request_flow(self) -> None:
         """Build the way of a request through all of these."""
         rejections = Rejections(self._actions, self.admission, self.settings.max_retry_after_ms)
-        self.attempts = AttemptFlow(
+        self.attempt_flow = AttemptFlow(
             settings=self.settings,
             actions=self._actions,
             rejections=rejections,
-            pending=self.pending,
-            selector=self.selector,
+            pending_requests=self.pending_requests,
+            endpoint_selector=self.endpoint_selector,
             slow_start=self.slow_start,
-            outliers=self.outliers,
+            outlier_detector=self.outlier_detector,
             retry_policy=self.retry_policy,
-            sampler=self.sampler,
+            load_sampler=self.load_sampler,
             admission=self.admission,
-            reporter=self.reporter,
+            usage_reporter=self.usage_reporter,
             traffic=self.traffic,
             latency=self.latency,
         )
-        self.requests = RequestFlow(
+        self.request_flow = RequestFlow(
             settings=self.settings,
-            attempts=self.attempts,
+            attempt_flow=self.attempt_flow,
             rejections=rejections,
-            pending=self.pending,
+            pending_requests=self.pending_requests,
             tenants=self.tenants,
-            reporter=self.reporter,
+            usage_reporter=self.usage_reporter,
             admission=self.admission,
-            table=self.endpoints,
-            selector=self.selector,
+            endpoint_table=self.endpoints,
+            endpoint_selector=self.endpoint_selector,
             retry_budget=self.retry_policy.budget,
             probe_budget=self.probe_budget,
             traffic=self.traffic,
@@ -178,13 +178,13 @@
     def _event_handlers(self) -> dict[type[Event], Handler]:
         """Return the owner of each event; health checks and gossip tell nothing that is used."""
         return {
-            RequestReceived: self.requests.receive,
-            AttemptEnded: self.attempts.record_end,
-            CounterReply: self.requests.record_counter_reply,
-            ResponseStarted: lambda event, _: self.attempts.mark_streaming(event),
-            ClientDisconnected: lambda event, _: self.requests.disconnect_client(event),
+            RequestReceived: self.request_flow.receive,
+            AttemptEnded: self.attempt_flow.record_attempt_end,
+            CounterReply: self.request_flow.record_counter_reply,
+            ResponseStarted: lambda event, _: self.attempt_flow.mark_streaming(event),
+            ClientDisconnected: lambda event, _: self.request_flow.record_client_disconnect(event),
             EndpointUpdate: lambda event, _: self._update_endpoints(event),
-            TimerFired: self._fire_timer,
+            TimerFired: self._handle_timer,
             HealthCheckEnded: _ignore,
             GossipReceived: _ignore,
         }
@@ -218,12 +218,12 @@
 
     def _update_endpoints(self, event: EndpointUpdate) -> None:
         if event.kind is UpdateKind.FAILED:
-            backoff_ms = SUBSCRIBE_BACKOFF_MS * (1 + self.rng.random())
+            backoff_ms = MIN_SUBSCRIBE_BACKOFF_MS * (1 + self.rng.random())
             self._actions.append(StartTimer(SUBSCRIBE_TIMER, backoff_ms))
         else:
             self.endpoints.apply(event)
 
-    def _fire_timer(self, event: TimerFired, now_ms: float) -> None:
+    def _handle_timer(self, event: TimerFired, now_ms: float) -> None:
         if event.name == SWEEP_TIMER:
             self._sweep(now_ms)
         elif event.name == SUBSCRIBE_TIMER:
@@ -232,23 +232,25 @@
     def _sweep(self, now_ms: float) -> None:
         """Bring rates, estimates and sizes up to date, and decide on what waits for too long."""
         elapsed_ms, age_ms = self.sweep_timer.elapsed_ms(now_ms), self.uptime.age_ms(now_ms)
-        keep = self.traffic.sweep_completions(elapsed_ms, age_ms)
+        decay_factor = self.traffic.sweep_completions(elapsed_ms, age_ms)
         subset = self.subset.refresh(now_ms)
-        self.outliers.sweep(subset, len(subset.ejected))
-        self.traffic.sweep_warm_work(elapsed_ms, keep, len(subset.warm))
-        self.admission.sweep(self.pending.in_flight / max(len(self.endpoints), 1), keep)
-        self.sampler.update_admission(now_ms)
+        self.outlier_detector.sweep(subset, len(subset.ejected))
+        self.traffic.sweep_warm_work(elapsed_ms, decay_factor, len(subset.warm))
+        self.admission.sweep(
+            self.pending_requests.attempts_in_flight / max(len(self.endpoints), 1), decay_factor
+        )
+        self.load_sampler.update_admission(now_ms)
         self.traffic.sweep_attempts(elapsed_ms, age_ms)
-        self.subset_sizer.sweep(len(self.endpoints.ring), self._is_pressed())
-        self.requests.decide_overdue(now_ms)
+        self.subset_sizer.sweep(len(self.endpoints.ring), self._is_overloaded())
+        self.request_flow.decide_overdue(now_ms)
         self.tenants.forget_idle(now_ms)
         self._actions.append(self.sweep_timer.restart(now_ms))
 
-    def _is_pressed(self) -> bool:
+    def _is_overloaded(self) -> bool:
         """Whether endpoints are overloaded or ejected, or hold much of this gateway's work."""
-        is_shedding = self.admission.fraction < PRESSED_FRACTION
-        is_loaded = 2 * self.pending.in_flight > len(self.subset.warm)
-        return is_shedding or self.outliers.is_majority_ejected or is_loaded
+        is_shedding = self.admission.fraction < OVERLOADED_ADMITTED_FRACTION
+        is_loaded = 2 * self.pending_requests.attempts_in_flight > len(self.subset.warm)
+        return is_shedding or self.outlier_detector.is_majority_ejected or is_loaded
 
 
 def _ignore(_event: Event, _now_ms: float) -> None:
--- a/api_gateway/decisions/load_sampling.py
+++ b/api_gateway/decisions/load_sampling.py
@@ -15,7 +15,7 @@
 from api_gateway.decisions.rate_limited_log import RateLimitedLog
 from api_gateway.decisions.retry import CONNECTION_FAILURES
 from api_gateway.decisions.subset import EndpointSubset
-from api_gateway.decisions.subset_sizing import PRESSED_FRACTION
+from api_gateway.decisions.subset_sizing import OVERLOADED_ADMITTED_FRACTION
 from api_gateway.decisions.traffic import TrafficRates
 from api_gateway.decisions.uptime import SWEEP_INTERVAL_MS, SweepTimer, Uptime
 from api_gateway.model.events import AttemptEnded
@@ -75,7 +75,7 @@
         """Take in the end of an attempt."""
         occupancy = self._admission.occupancy
         latency = self._record_sample(pending, attempt, event, now_ms)
-        occupancy.classes[pending.class_name].end_attempt(attempt.block, latency, now_ms)
+        occupancy.classes[pending.class_name].end_attempt(attempt.latency_block, latency, now_ms)
         if occupancy.pending_samples >= MAX_SAMPLES_PER_UPDATE:
             self.update_admission(now_ms)
 
@@ -119,7 +119,7 @@
         rate, baseline_ms = self._traffic.completion_rate, self._admission.occupancy.baseline_ms
         if rate <= 0:
             return 0.0, 0.0
-        in_flight = self._pending.in_flight - sum(e.in_flight for e in self._subset.ejected)
+        in_flight = self._pending.attempts_in_flight - sum(e.in_flight for e in self._subset.ejected)
         chance_ms = CHANCE_STANDARD_DEVIATIONS * math.sqrt(baseline_ms / rate)
         return in_flight / rate - baseline_ms, chance_ms
 
@@ -134,6 +134,6 @@
             overdue = self._pending.count_overdue(OVERDUE_OBJECTIVE_PART, now_ms)
         self._admission.update(overdue)
         fraction = self._admission.fraction
-        if fraction < PRESSED_FRACTION:
+        if fraction < OVERLOADED_ADMITTED_FRACTION:
             details = f"occupancy={occupancy.smoothed:.2f} admitted_fraction={fraction:.2f}"
             self._log.write("load_shedding", details, now_ms)
--- a/api_gateway/decisions/outlier_detection.py
+++ b/api_gateway/decisions/outlier_detection.py
@@ -24,8 +24,8 @@
 PROBES_PER_REQUEST = 0.05  # probes of ejected endpoints earned by each admitted request
 MAX_SAVED_PROBES = 2.0
 
-RESETS = frozenset((AttemptResult.CONNECTION_RESET, AttemptResult.NOT_SENT))
-FAILURES = frozenset((AttemptResult.ERROR, AttemptResult.TIMED_OUT, AttemptResult.OVERLOADED))
+RESET_RESULTS = frozenset((AttemptResult.CONNECTION_RESET, AttemptResult.NOT_SENT))
+FAILURE_RESULTS = frozenset((AttemptResult.ERROR, AttemptResult.TIMED_OUT, AttemptResult.OVERLOADED))
 
 
 class ProbeBudget:
@@ -51,7 +51,7 @@
     """Judges endpoints by the results of their attempts.
 
     Args:
-        table: The endpoints.
+        endpoint_table: The endpoints.
         log: Where ejections are logged.
 
     Attributes:
@@ -59,33 +59,33 @@
         is_majority_ejected: Whether over half of the subset is ejected: then ejection makes no outlier.
     """
 
-    def __init__(self, table: EndpointTable, log: RateLimitedLog) -> None:
-        self._table = table
+    def __init__(self, endpoint_table: EndpointTable, log: RateLimitedLog) -> None:
+        self._endpoint_table = endpoint_table
         self._log = log
         self.median_latency_ratio = 1.0
         self.is_majority_ejected = False
 
-    def sweep(self, subset: Iterable[EndpointState], ejected: int) -> None:
+    def sweep(self, subset: Iterable[EndpointState], ejected_count: int) -> None:
         """Compare the endpoints of the subset anew.
 
         Args:
             subset: All of its endpoints.
-            ejected: How many of them are ejected.
+            ejected_count: How many of them are ejected.
         """
         ratios = sorted(endpoint.latency_ratio for endpoint in subset)
         self.median_latency_ratio = max(ratios[len(ratios) // 2], 1.0) if ratios else 1.0
-        self.is_majority_ejected = 2 * ejected > len(ratios)
+        self.is_majority_ejected = 2 * ejected_count > len(ratios)
 
     def is_outlier(self, endpoint: EndpointState) -> bool:
         """Whether an endpoint is far slower than the median, or ejected while most are not."""
         is_slow = endpoint.latency_ratio > OUTLIER_LATENCY_RATIO * self.median_latency_ratio
         return is_slow or (endpoint.is_ejected and not self.is_majority_ejected)
 
-    def record_outcome(
+    def record_result(
         self,
         endpoint: EndpointState,
         event: AttemptEnded,
-        expected_ms: float,
+        expected_latency_ms: float,
         objective_ms: float,
         now_ms: float,
     ) -> None:
@@ -94,41 +94,41 @@
         Args:
             endpoint: Where it was sent.
             event: How it ended.
-            expected_ms: The typical latency of such a request.
+            expected_latency_ms: The typical latency of such a request.
             objective_ms: The latency objective of its class.
             now_ms: The time of its end.
         """
         if event.result is AttemptResult.OK:
-            self._record_success(endpoint, event.duration_ms / expected_ms, now_ms)
+            self._record_success(endpoint, event.duration_ms / expected_latency_ms, now_ms)
         elif event.result is AttemptResult.CONNECT_FAILED:
             # A reset ends one connection only; an endpoint that is down refuses the next connect.
-            endpoint.connect_failed = True
+            endpoint.has_connect_failure = True
             self.eject(endpoint, now_ms)
-        elif event.result in RESETS:
+        elif event.result in RESET_RESULTS:
             self._record_failure(endpoint, now_ms)
-        elif event.result in FAILURES:
-            ratio = max(objective_ms / expected_ms, MIN_FAILURE_LATENCY_RATIO)
+        elif event.result in FAILURE_RESULTS:
+            ratio = max(objective_ms / expected_latency_ms, MIN_FAILURE_LATENCY_RATIO)
             self._record_latency(endpoint, ratio)
             is_slow = event.result is AttemptResult.TIMED_OUT and self.is_outlier(endpoint)
             is_failure = is_slow or event.result is AttemptResult.ERROR
             self._record_failure(endpoint, now_ms, is_counted=is_failure)
 
     def _record_success(self, endpoint: EndpointState, latency_ratio: float, now_ms: float) -> None:
-        if endpoint.connect_failed:
+        if endpoint.has_connect_failure:
             # It may have restarted; the endpoint list shows that only later.
-            endpoint.slow_start_from_ms = max(endpoint.slow_start_from_ms, now_ms)
-            endpoint.connect_failed = False
-            self._table.mark_changed()
+            endpoint.slow_start_began_at_ms = max(endpoint.slow_start_began_at_ms, now_ms)
+            endpoint.has_connect_failure = False
+            self._endpoint_table.mark_changed()
         if endpoint.is_ejected:
-            self._table.mark_changed()
+            self._endpoint_table.mark_changed()
         endpoint.consecutive_failures = endpoint.ejection_count = 0
         self._record_latency(endpoint, latency_ratio)
-        endpoint.idle_connection_at_ms = now_ms
+        endpoint.connection_idle_since_ms = now_ms
 
     @staticmethod
     def _record_latency(endpoint: EndpointState, ratio: float) -> None:
-        offset = min(ratio, MAX_LATENCY_RATIO) - endpoint.latency_ratio
-        endpoint.latency_ratio += LATENCY_RATIO_WEIGHT * offset
+        difference = min(ratio, MAX_LATENCY_RATIO) - endpoint.latency_ratio
+        endpoint.latency_ratio += LATENCY_RATIO_WEIGHT * difference
 
     def _record_failure(self, endpoint: EndpointState, now_ms: float, *, is_counted: bool = True) -> None:
         """Count a failure, and eject the endpoint after too many of them, or if this was a probe."""
@@ -143,6 +143,6 @@
         backoff_ms = min(EJECTION_BACKOFF_MS * 2**endpoint.ejection_count, MAX_EJECTION_BACKOFF_MS)
         endpoint.ejected_until_ms = now_ms + backoff_ms
         endpoint.ejection_count = min(endpoint.ejection_count + 1, MAX_EJECTION_COUNT)
-        self._table.mark_changed()
+        self._endpoint_table.mark_changed()
         details = f"endpoint={endpoint.name} ejections={endpoint.ejection_count} backoff_ms={backoff_ms:.0f}"
         self._log.write("endpoint_ejected", details, now_ms)
--- a/api_gateway/decisions/pending_requests.py
+++ b/api_gateway/decisions/pending_requests.py
@@ -20,17 +20,17 @@
     Args:
         endpoint: Where it was sent.
         started_at_ms: When the decision was made.
-        block: The block of its class that its latency counts in.
+        latency_block: The block of its class that its latency counts in.
 
     Attributes:
         is_in_flight: Whether its end has not been reported.
         may_have_run: Whether it may have run: so until its result proves that it never did.
     """
 
-    def __init__(self, endpoint: EndpointState, started_at_ms: float, block: LatencyBlock) -> None:
+    def __init__(self, endpoint: EndpointState, started_at_ms: float, latency_block: LatencyBlock) -> None:
         self.endpoint = endpoint
         self.started_at_ms = started_at_ms
-        self.block = block
+        self.latency_block = latency_block
         self.is_in_flight = True
         self.may_have_run = True
 
@@ -46,9 +46,9 @@
         deadline_at_ms: When the client stops waiting.
 
     Attributes:
-        work: Its expected latency on an idle endpoint, in milliseconds; set when it is admitted.
+        work_ms: Its expected latency on an idle endpoint, in milliseconds; set when it is admitted.
         attempts: Its attempts in their order.
-        is_answered: Whether the client has its final answer, or has gone.
+        is_finished: Whether the client has its final answer, or has gone.
         is_streaming: Whether its answer has begun.
     """
 
@@ -65,9 +65,9 @@
         self.tenant = tenant
         self.objective_at_ms = objective_at_ms
         self.deadline_at_ms = deadline_at_ms
-        self.work = 0.0
+        self.work_ms = 0.0
         self.attempts: list[Attempt] = []
-        self.is_answered = False
+        self.is_finished = False
         self.is_streaming = False
 
     @property
@@ -98,12 +98,12 @@
     """The requests with attempts, by id.
 
     Attributes:
-        in_flight: Attempts in flight.
+        attempts_in_flight: Attempts in flight.
     """
 
     def __init__(self) -> None:
         self._requests: dict[str, PendingRequest] = {}
-        self.in_flight = 0
+        self.attempts_in_flight = 0
 
     def __len__(self) -> int:
         """Return the number of requests."""
@@ -134,20 +134,21 @@
         pending.attempts.append(attempt)
         attempt.endpoint.in_flight += 1
         attempt.endpoint.last_attempt_at_ms = attempt.started_at_ms
-        self.in_flight += 1
+        self.attempts_in_flight += 1
 
     def end_attempt(self, attempt: Attempt, never_ran: bool) -> None:
         """Note the end of an attempt that is in flight."""
         attempt.is_in_flight = False
         attempt.may_have_run = not never_ran
         attempt.endpoint.in_flight -= 1
-        self.in_flight -= 1
+        self.attempts_in_flight -= 1
 
-    def count_overdue(self, objective_part: float, now_ms: float) -> int:
+    def count_overdue(self, objective_fraction: float, now_ms: float) -> int:
         """Return how many attempts in flight have taken over this part of their objective already."""
         return sum(
             attempt.is_in_flight
-            and now_ms - attempt.started_at_ms > objective_part * pending.request_class.latency_objective_ms
+            and now_ms - attempt.started_at_ms
+            > objective_fraction * pending.request_class.latency_objective_ms
             for pending in self._requests.values()
             for attempt in pending.attempts
         )
--- a/api_gateway/decisions/request_flow.py
+++ b/api_gateway/decisions/request_flow.py
@@ -20,10 +20,10 @@
 from api_gateway.model.results import CounterResult, RejectReason
 from api_gateway.model.settings import Plan, RequestClass, Settings
 
-OVER_QUOTA_OCCUPANCY_PART = (
+OVER_QUOTA_OCCUPANCY_FRACTION = (
     0.5  # part of the shedding threshold below which requests beyond a quota are admitted
 )
-EARLY_SWEEPS = 2  # sweeps that a request must have time for beside a counter call, to wait for a total
+MIN_SPARE_SWEEPS = 2  # sweeps that a request must have time for beside a counter call, to wait for a total
 
 
 class RequestFlow:
@@ -34,14 +34,14 @@
 
     Args:
         settings: The gateway's settings.
-        attempts: Takes a request with attempts to its answer.
+        attempt_flow: Takes a request with attempts to its answer.
         rejections: Answers that a request was not served.
-        pending: The requests with attempts.
+        pending_requests: The requests with attempts.
         tenants: The tenants.
-        reporter: Makes the counter calls.
+        usage_reporter: Makes the counter calls.
         admission: Sheds load.
-        table: All endpoints.
-        selector: Chooses among them.
+        endpoint_table: All endpoints.
+        endpoint_selector: Chooses among them.
         retry_budget: Earns retries.
         probe_budget: Earns probes of ejected endpoints.
         traffic: The gateway's rates.
@@ -51,14 +51,14 @@
     def __init__(
         self,
         settings: Settings,
-        attempts: AttemptFlow,
+        attempt_flow: AttemptFlow,
         rejections: Rejections,
-        pending: PendingRequests,
+        pending_requests: PendingRequests,
         tenants: TenantTable,
-        reporter: UsageReporter,
+        usage_reporter: UsageReporter,
         admission: AdmissionController,
-        table: EndpointTable,
-        selector: EndpointSelector,
+        endpoint_table: EndpointTable,
+        endpoint_selector: EndpointSelector,
         retry_budget: RetryBudget,
         probe_budget: ProbeBudget,
         traffic: TrafficRates,
@@ -67,15 +67,17 @@
         self._classes = {request_class.name: request_class for request_class in settings.classes}
         self._plans = {plan.name: plan for plan in settings.plans}
         self._reply_timeout_ms = settings.counter_timeout_ms + SWEEP_INTERVAL_MS
-        self._min_wait_ms = settings.counter_timeout_ms + EARLY_SWEEPS * SWEEP_INTERVAL_MS
-        self._attempts = attempts
+        self._min_time_for_counter_call_ms = (
+            settings.counter_timeout_ms + MIN_SPARE_SWEEPS * SWEEP_INTERVAL_MS
+        )
+        self._attempt_flow = attempt_flow
         self._rejections = rejections
-        self._pending = pending
+        self._pending_requests = pending_requests
         self._tenants = tenants
-        self._reporter = reporter
+        self._usage_reporter = usage_reporter
         self._admission = admission
-        self._table = table
-        self._selector = selector
+        self._endpoint_table = endpoint_table
+        self._endpoint_selector = endpoint_selector
         self._retry_budget = retry_budget
         self._probe_budget = probe_budget
         self._traffic = traffic
@@ -86,7 +88,9 @@
 
     def receive(self, request: RequestReceived, now_ms: float) -> None:
         """Decide on a request at once, or let it wait for its tenant's total."""
-        if request.request_id in self._pending or self._reporter.is_waiting(request.request_id):
+        if request.request_id in self._pending_requests or self._usage_reporter.is_waiting(
+            request.request_id
+        ):
             return
         request_class = self._classes.get(request.class_name)
         plan = self._plans.get(request.plan_name)
@@ -94,7 +98,7 @@
             self._rejections.reject(request.request_id, RejectReason.UNKNOWN_CLASS_OR_PLAN)
         elif request.time_left_ms <= 0:
             self._rejections.reject(request.request_id, RejectReason.DEADLINE_PASSED)
-        elif not self._table:
+        elif not self._endpoint_table:
             self._rejections.reject(request.request_id, RejectReason.NO_ENDPOINTS)
         else:
             self._receive_valid(request, request_class, plan, now_ms)
@@ -118,11 +122,13 @@
             objective_at_ms=objective_at_ms,
             deadline_at_ms=deadline_at_ms,
         )
-        has_time = objective_at_ms - now_ms > self._min_wait_ms
-        if not has_time or not self._reporter.needs_total(tenant, request.units, now_ms):
+        has_time_for_counter_call = objective_at_ms - now_ms > self._min_time_for_counter_call_ms
+        if not has_time_for_counter_call or not self._usage_reporter.needs_total(
+            tenant, request.units, now_ms
+        ):
             self._decide(pending, now_ms, is_admitted=False)
         elif self._is_admitted(pending):
-            self._reporter.wait_for_total(pending, now_ms)
+            self._usage_reporter.wait_for_total(pending, now_ms)
         else:
             self._rejections.reject(request.request_id, RejectReason.LOAD_SHED)
 
@@ -143,9 +149,9 @@
         if plan.quota_rate > 0:
             window, started_at_ms = tenant.window_at(now_ms)
             if window != tenant.quota.window:
-                self._reporter.forget_calls(tenant)
+                self._usage_reporter.forget_calls(tenant)
                 self._decide_waiting(tenant, now_ms)
-                self._reporter.start_window(tenant, window, started_at_ms)
+                self._usage_reporter.start_window(tenant, window, started_at_ms)
         tenant.quota.note_gateway_count(self._tenants.gateway_count(request))
         return tenant
 
@@ -160,17 +166,17 @@
             is_admitted: Whether admission control has admitted it already.
         """
         violation = self._quota_violation(pending, now_ms)
-        reason = self._why_not_admitted(pending, violation, now_ms, is_admitted=is_admitted)
+        reason = self._rejection_reason(pending, violation, now_ms, is_admitted=is_admitted)
         if reason is None:
             reason = self._forward(pending, now_ms, is_over_quota=violation is not None)
         if reason is not None:
-            self._reject_new(pending, reason, is_over_quota=violation is not None)
+            self._reject_without_attempt(pending, reason, is_over_quota=violation is not None)
 
-    def _why_not_admitted(
+    def _rejection_reason(
         self, pending: PendingRequest, violation: RejectReason | None, now_ms: float, *, is_admitted: bool
     ) -> RejectReason | None:
         """Return what keeps a request from being forwarded: its quota, load shedding or the ceiling."""
-        if violation is not None and not self._is_served_beyond_quota(pending.tenant.plan):
+        if violation is not None and not self._may_be_served_over_quota(pending.tenant.plan):
             return violation
         if violation is None and not is_admitted and not self._is_admitted(pending):
             return RejectReason.LOAD_SHED
@@ -187,9 +193,9 @@
             return RejectReason.OVER_QUOTA
         return None
 
-    def _is_served_beyond_quota(self, plan: Plan) -> bool:
+    def _may_be_served_over_quota(self, plan: Plan) -> bool:
         """Whether requests beyond a quota are worth their cost, and the back end has capacity to spare."""
-        threshold = OVER_QUOTA_OCCUPANCY_PART * MIN_SHED_OCCUPANCY
+        threshold = OVER_QUOTA_OCCUPANCY_FRACTION * MIN_SHED_OCCUPANCY
         is_worthwhile = plan.over_quota_weight > plan.over_quota_cost
         return is_worthwhile and self._admission.occupancy.smoothed < threshold
 
@@ -204,51 +210,53 @@
 
     def _forward(self, pending: PendingRequest, now_ms: float, *, is_over_quota: bool) -> RejectReason | None:
         """Send an admitted request to an endpoint; return why it cannot be sent, if so."""
-        pending.work = self._latency.per_unit_ms(pending.class_name) * max(pending.units, 0.0)
-        self._traffic.record_admitted(pending.work)
+        pending.work_ms = self._latency.per_unit_ms(pending.class_name) * max(pending.units, 0.0)
+        self._traffic.record_admitted(pending.work_ms)
         if pending.objective_at_ms <= now_ms:
             return RejectReason.OBJECTIVE_PASSED
-        endpoint = self._selector.select(pending, now_ms)
+        endpoint = self._endpoint_selector.select(pending, now_ms)
         if endpoint is None:
             return RejectReason.NO_ENDPOINT_AVAILABLE
         tenant = pending.tenant
-        self._pending.add(pending)
+        self._pending_requests.add(pending)
         self._retry_budget.earn()
         self._probe_budget.earn()
         tenant.ceiling.spend(pending.units)
         tenant.in_flight += 1
         if not is_over_quota:
             tenant.quota.spend(pending.units)
-        self._reporter.report(tenant, now_ms)
-        self._attempts.start(pending, endpoint, now_ms)
+        self._usage_reporter.report(tenant, now_ms)
+        self._attempt_flow.start(pending, endpoint, now_ms)
         return None
 
     def record_counter_reply(self, reply: CounterReply, now_ms: float) -> None:
         """Take in the end of a counter call, and decide on the requests that waited for it."""
-        tenant = self._reporter.record_reply(reply, now_ms)
+        tenant = self._usage_reporter.record_reply(reply, now_ms)
         if tenant is None:
             return
         self._decide_waiting(tenant, now_ms)
         if reply.result is CounterResult.OK:
-            self._reporter.report(tenant, now_ms)
+            self._usage_reporter.report(tenant, now_ms)
 
     def decide_overdue(self, now_ms: float) -> None:
         """Decide on the requests that wait for replies that do not come."""
-        for tenant in self._reporter.overdue_tenants(self._reply_timeout_ms, now_ms):
+        for tenant in self._usage_reporter.overdue_tenants(self._reply_timeout_ms, now_ms):
             self._decide_waiting(tenant, now_ms)
 
     def _decide_waiting(self, tenant: Tenant, now_ms: float) -> None:
-        for pending in self._reporter.take_waiting(tenant):
+        for pending in self._usage_reporter.take_waiting(tenant):
             self._decide(pending, now_ms, is_admitted=True)
 
-    def disconnect_client(self, event: ClientDisconnected) -> None:
+    def record_client_disconnect(self, event: ClientDisconnected) -> None:
         """Finish a request that nobody waits for any more."""
-        self._reporter.stop_waiting(event.request_id)
-        pending = self._pending.get(event.request_id)
+        self._usage_reporter.stop_waiting(event.request_id)
+        pending = self._pending_requests.get(event.request_id)
         if pending is not None:
-            self._attempts.finish(pending)
+            self._attempt_flow.finish(pending)
 
-    def _reject_new(self, pending: PendingRequest, reason: RejectReason, *, is_over_quota: bool) -> None:
+    def _reject_without_attempt(
+        self, pending: PendingRequest, reason: RejectReason, *, is_over_quota: bool
+    ) -> None:
         """Reject a request with no attempt; beyond a quota it may come again when its units have refilled."""
         rate = pending.tenant.plan.quota_rate
         refill_ms = 1000 * pending.units / rate if is_over_quota and rate else 0.0
--- a/api_gateway/decisions/retry.py
+++ b/api_gateway/decisions/retry.py
@@ -17,7 +17,7 @@
 MAX_SAVED_RETRIES = 10.0
 MAX_LOST_RESPONSE_RATIO = 0.06  # above which an attempt that may be repeated gets a shorter timeout
 MIN_TIMEOUT_MS = 1.0
-MIN_EXPECTED_MS = 1e-6
+MIN_EXPECTED_LATENCY_MS = 1e-6
 
 CONNECTION_FAILURES = frozenset(
     (
@@ -73,7 +73,7 @@
         settings = self._settings
         if not endpoint.is_up or len(pending.attempts) >= settings.max_attempts:
             return False
-        if pending.is_answered or pending.is_streaming:
+        if pending.is_finished or pending.is_streaming:
             return False
         if not pending.attempts:
             return True
@@ -93,7 +93,7 @@
         ):
             return False
         scope = request_class.idempotency_key_scope
-        return all(_knows_key(endpoint, attempt, scope) for attempt in earlier)
+        return all(_is_in_key_scope(endpoint, attempt, scope) for attempt in earlier)
 
     def write_timeout_ms(self, pending: PendingRequest, now_ms: float) -> float:
         """Return how long an attempt of a request may still be written.
@@ -127,15 +127,15 @@
         timeout_ms = max(
             pending.objective_at_ms - now_ms - tick_ms, min(MIN_TIMEOUT_MS, pending.deadline_at_ms - now_ms)
         )
-        if self._occupancy.lost_response_ratio <= MAX_LOST_RESPONSE_RATIO or not self._may_be_repeated(
+        if self._occupancy.lost_response_ratio <= MAX_LOST_RESPONSE_RATIO or not self._may_retry_next_attempt(
             pending
         ):
             return timeout_ms
-        expected_ms = self._expected_ms(pending)
-        early_ms = max(timeout_ms / 2, LOST_RESPONSE_LATENCIES * expected_ms)
-        return early_ms if early_ms + expected_ms < timeout_ms else timeout_ms
+        expected_latency_ms = self._expected_latency_ms(pending)
+        short_timeout_ms = max(timeout_ms / 2, LOST_RESPONSE_LATENCIES * expected_latency_ms)
+        return short_timeout_ms if short_timeout_ms + expected_latency_ms < timeout_ms else timeout_ms
 
-    def _may_be_repeated(self, pending: PendingRequest) -> bool:
+    def _may_retry_next_attempt(self, pending: PendingRequest) -> bool:
         """Whether a further attempt after the next one is allowed and paid for."""
         return (
             pending.request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
@@ -147,18 +147,18 @@
         """Return what a retry costs: the part of a request's work that the last attempt has used up."""
         if event.result not in CONNECTION_FAILURES:
             return 1.0
-        return min(event.duration_ms / max(self._expected_ms(pending), MIN_EXPECTED_MS), 1.0)
+        return min(event.duration_ms / max(self._expected_latency_ms(pending), MIN_EXPECTED_LATENCY_MS), 1.0)
 
     def is_retry_worthwhile(self, pending: PendingRequest, cost: float, now_ms: float) -> bool:
         """Whether a retry is paid for and can be answered in time."""
-        needed_ms = max(self._expected_ms(pending), 2 * self._settings.clock_tick_ms)
+        needed_ms = max(self._expected_latency_ms(pending), 2 * self._settings.clock_tick_ms)
         return self.budget.covers(cost) and pending.objective_at_ms - now_ms > needed_ms
 
-    def _expected_ms(self, pending: PendingRequest) -> float:
+    def _expected_latency_ms(self, pending: PendingRequest) -> float:
         return self._latency.expected_ms(pending.class_name, pending.units)
 
 
-def _knows_key(endpoint: EndpointState, attempt: Attempt, scope: KeyScope) -> bool:
+def _is_in_key_scope(endpoint: EndpointState, attempt: Attempt, scope: KeyScope) -> bool:
     """Whether an endpoint shares the memory of idempotency keys with that of an earlier attempt."""
     if scope is KeyScope.ALL:
         return True
--- a/api_gateway/decisions/subset.py
+++ b/api_gateway/decisions/subset.py
@@ -15,12 +15,12 @@
 from api_gateway.model.settings import Settings
 
 TARGET_VISIT_INTERVAL_MS = 500.0  # a subset is so large that each endpoint gets one request in this time
-MIN_SIZE = 6
-MAX_SIZE = 256
-RESIZE_FACTOR = 1.25  # least change of the size: each change costs connections
+MIN_SUBSET_SIZE = 6
+MAX_SUBSET_SIZE = 256
+MIN_RESIZE_FACTOR = 1.25  # least change of the size: each change costs connections
 MAX_CANDIDATES = 32  # endpoints compared for one request: the best of so many is as good as the best of all
-WALK_FACTOR = 8  # endpoints examined on the ring, in multiples of the size
-WALK_EXTRA = 64  # and so many more
+MAX_WALK_FACTOR = 8  # endpoints examined on the ring, in multiples of the size
+MAX_WALK_EXTRA = 64  # and so many more
 MAX_WARMING_UP_FACTOR = 2  # endpoints that are warming up, in multiples of the size
 
 
@@ -28,31 +28,31 @@
     """The endpoints that this gateway works with, brought up to date when something changes.
 
     Args:
-        table: All endpoints.
+        endpoint_table: All endpoints.
         settings: The gateway's settings.
         rng: Source of the draws that spread the first visits to endpoints that have become warm.
 
     Attributes:
-        size: How many warm endpoints are wanted.
+        target_size: How many warm endpoints are wanted.
         visit_interval_ms: Time in which each of its endpoints is visited once.
         warm: Endpoints at their whole capacity that are not ejected.
         warming_up: Endpoints in slow start.
         ejected: Endpoints that are ejected.
     """
 
-    def __init__(self, table: EndpointTable, settings: Settings, rng: Random) -> None:
-        self._table = table
+    def __init__(self, endpoint_table: EndpointTable, settings: Settings, rng: Random) -> None:
+        self._endpoint_table = endpoint_table
         self._slow_start_ms = settings.slow_start_ms
         self._rng = rng
         self._position = gateway_position(settings.gateway_index, settings.fleet_size)
-        self.size = float(MIN_SIZE)
+        self.target_size = float(MIN_SUBSET_SIZE)
         self.visit_interval_ms = TARGET_VISIT_INTERVAL_MS
         self.warm: list[EndpointState] = []
         self.warming_up: list[EndpointState] = []
         self.ejected: list[EndpointState] = []
         self._next_warm_at_ms = math.inf
-        self._candidates_from = 0
-        self._warming_up_from = 0
+        self._candidates_start = 0
+        self._warming_up_start = 0
         self._is_resized = False
         self._revision = -1  # of the table, when the subset was brought up to date
 
@@ -64,13 +64,16 @@
         """Iterate over the endpoints of the subset."""
         return chain(self.warm, self.warming_up, self.ejected)
 
-    def resize(self, wanted: float) -> None:
+    def resize(self, target_size: float) -> None:
         """Set the number of warm endpoints; small changes are left out, since each one costs connections."""
-        wanted = min(max(wanted, MIN_SIZE), MAX_SIZE)
-        is_large_change = wanted > RESIZE_FACTOR * self.size or RESIZE_FACTOR * wanted < self.size
-        if is_large_change or len(self.warm) < MIN_SIZE:
-            self._is_resized = self._is_resized or round(wanted) != round(self.size)
-            self.size = wanted
+        target_size = min(max(target_size, MIN_SUBSET_SIZE), MAX_SUBSET_SIZE)
+        is_large_change = (
+            target_size > MIN_RESIZE_FACTOR * self.target_size
+            or MIN_RESIZE_FACTOR * target_size < self.target_size
+        )
+        if is_large_change or len(self.warm) < MIN_SUBSET_SIZE:
+            self._is_resized = self._is_resized or round(target_size) != round(self.target_size)
+            self.target_size = target_size
 
     def refresh(self, now_ms: float) -> EndpointSubset:
         """Bring the subset up to date, if anything has changed or an endpoint has become warm.
@@ -78,10 +81,10 @@
         Returns:
             The subset itself.
         """
-        is_current = self._revision == self._table.revision and not self._is_resized
+        is_current = self._revision == self._endpoint_table.revision and not self._is_resized
         if is_current and now_ms < self._next_warm_at_ms:
             return self
-        self._revision, self._is_resized = self._table.revision, False
+        self._revision, self._is_resized = self._endpoint_table.revision, False
         self._next_warm_at_ms = math.inf
         self._select(now_ms)
         return self
@@ -92,21 +95,24 @@
         warm: list[EndpointState] = []
         warming_up: list[EndpointState] = []
         ejected: list[EndpointState] = []
-        max_walked = WALK_FACTOR * self.size + WALK_EXTRA
-        for walked, name in enumerate(self._table.ring.walk(self._position), start=1):
-            endpoint = self._table.available[name]
+        max_walked = MAX_WALK_FACTOR * self.target_size + MAX_WALK_EXTRA
+        for walked, name in enumerate(self._endpoint_table.ring.walk(self._position), start=1):
+            endpoint = self._endpoint_table.available[name]
             if endpoint.is_ejected:
                 ejected.append(endpoint)
-            elif endpoint.slow_start_from_ms and now_ms < endpoint.slow_start_from_ms + self._slow_start_ms:
-                if len(warming_up) < MAX_WARMING_UP_FACTOR * self.size:
+            elif (
+                endpoint.slow_start_began_at_ms
+                and now_ms < endpoint.slow_start_began_at_ms + self._slow_start_ms
+            ):
+                if len(warming_up) < MAX_WARMING_UP_FACTOR * self.target_size:
                     warming_up.append(endpoint)
-                    warm_at_ms = endpoint.slow_start_from_ms + self._slow_start_ms
+                    warm_at_ms = endpoint.slow_start_began_at_ms + self._slow_start_ms
                     self._next_warm_at_ms = min(self._next_warm_at_ms, warm_at_ms)
             else:
                 warm.append(endpoint)
                 if endpoint not in previously_warm:
                     self._spread_first_visit(endpoint, now_ms)
-            if len(warm) >= self.size or (walked > max_walked and (warm or warming_up)):
+            if len(warm) >= self.target_size or (walked > max_walked and (warm or warming_up)):
                 break
         self.warm, self.warming_up, self.ejected = warm, warming_up, ejected
 
@@ -119,11 +125,11 @@
         """Return the warm endpoints to compare for one request; others the next time."""
         if len(self.warm) <= MAX_CANDIDATES:
             return self.warm
-        start = self._candidates_from = (self._candidates_from + MAX_CANDIDATES) % len(self.warm)
+        start = self._candidates_start = (self._candidates_start + MAX_CANDIDATES) % len(self.warm)
         return (self.warm + self.warm[:MAX_CANDIDATES])[start : start + MAX_CANDIDATES]
 
     def warming_up_candidates(self) -> list[EndpointState]:
         """Return the endpoints in slow start to consider for one request, from another one on each time."""
         count = len(self.warming_up)
-        start = self._warming_up_from = (self._warming_up_from + 1) % count
+        start = self._warming_up_start = (self._warming_up_start + 1) % count
         return [self.warming_up[(start + i) % count] for i in range(min(MAX_CANDIDATES, count))]
--- a/api_gateway/decisions/usage_reporting.py
+++ b/api_gateway/decisions/usage_reporting.py
@@ -106,13 +106,13 @@
         report.is_call_in_flight = False
         is_ok = reply.result is CounterResult.OK
         if reply.name == report.previous_count_name:
-            self._carry_over_debt(tenant, reply.total if is_ok else 0.0, now_ms)
+            self._carry_over_debt(tenant, reply.counter_value if is_ok else 0.0, now_ms)
         elif is_ok:
-            is_first = self._is_first_of_window(tenant, reply.total)
-            tenant.quota.record_total(reply.total, report.reported_usage, now_ms)
+            is_first = self._is_first_of_window(tenant, reply.counter_value)
+            tenant.quota.record_total(reply.counter_value, report.reported_usage, now_ms)
             if is_first and self._query_previous_window(tenant, now_ms):
                 return None
-        elif not reply.result.maybe_added:
+        elif not reply.result.may_have_been_added:
             report.undo_call()
         return tenant
 
--- a/api_gateway/model/events.py
+++ b/api_gateway/model/events.py
@@ -99,13 +99,13 @@
     Attributes:
         name: The count.
         result: How the call ended.
-        total: The count's total after the increment, if `result` is OK.
+        counter_value: The count's total after the increment, if `result` is OK.
         duration_ms: From the call to its end.
     """
 
     name: str
     result: CounterResult
-    total: float
+    counter_value: float
     duration_ms: float = 0.0
 
 
--- a/api_gateway/model/results.py
+++ b/api_gateway/model/results.py
@@ -49,7 +49,7 @@
     CONNECTION_LOST = "connection_lost"  # it may have been added, and the counter may be well
 
     @property
-    def maybe_added(self) -> bool:
+    def may_have_been_added(self) -> bool:
         """Whether the amount may have been added, so that it must not be added again."""
         return self in (
             CounterResult.OK,
--- a/api_gateway/simulator/codec.py
+++ b/api_gateway/simulator/codec.py
@@ -155,7 +155,7 @@
     return CounterReply(
         name=name,
         result=decode_word(COUNTER_RESULTS, result),
-        total=decode_number(total),
+        counter_value=decode_number(total),
         duration_ms=decode_number(duration),
     )
 
--- a/tests/support/endpoint_simulation.py
+++ b/tests/support/endpoint_simulation.py
@@ -19,7 +19,7 @@
 from api_gateway.model.results import AttemptResult
 from api_gateway.model.settings import Plan, RequestClass
 from support.event_simulation import EventSimulation
-from support.gateway_driver import OPEN, settings
+from support.gateway_driver import OPEN_PLAN, settings
 
 LOGNORMAL_SIGMA = 0.7
 
@@ -47,7 +47,7 @@
     mean_service_ms: float
     requests_per_s: float
     distribution: Distribution = Distribution.LOGNORMAL
-    plan: Plan = OPEN
+    plan: Plan = OPEN_PLAN
 
     def draw_service_ms(self, rng: random.Random) -> float:
         """Return the service time of one request in milliseconds."""
@@ -74,12 +74,12 @@
     failed: int = 0
 
     @property
-    def rejected_share(self) -> float:
+    def rejected_fraction(self) -> float:
         """Part of the requests that were rejected."""
         return self.rejected / max(self.received, 1)
 
     @property
-    def served_share(self) -> float:
+    def served_fraction(self) -> float:
         """Part of the requests that were served in time."""
         return self.served_in_time / max(self.received, 1)
 
@@ -135,9 +135,9 @@
         self._pending: dict[str, PendingRequest] = {}
         self._sent: list[tuple[float, float]] = []  # time and service time of each attempt, in milliseconds
         self._gateways = self._create_gateways(gateways, seed)
-        servers = tuple(Endpoint(name, "ab"[i % 2], i % 2) for i, name in enumerate(names))
+        entries = tuple(Endpoint(name, "ab"[i % 2], i % 2) for i, name in enumerate(names))
         for index in range(gateways):
-            self._deliver(index, EndpointUpdate(UpdateKind.CACHED, servers))
+            self._deliver(index, EndpointUpdate(UpdateKind.CACHED, entries))
 
     def run(self, seconds: float, load_factor: float = 1.0) -> EndpointSimulation:
         """Run the open-loop load.
@@ -229,7 +229,7 @@
         result = AttemptResult.OK
         if latency_ms > action.timeout_ms:
             result, latency_ms = AttemptResult.TIMED_OUT, action.timeout_ms
-        outcome = AttemptEnded(
+        event = AttemptEnded(
             action.request_id,
             request.attempts,
             action.endpoint,
@@ -238,7 +238,7 @@
             result == AttemptResult.OK,
         )
         request.attempts += 1
-        self._schedule(latency_ms, gateway_index, outcome)
+        self._schedule(latency_ms, gateway_index, event)
 
     def _latency_ms(self, endpoint: str, service_ms: float) -> float:
         """Time until the endpoint has processed a request that is sent now, with its time in the queue."""
--- a/tests/support/fleet_simulation.py
+++ b/tests/support/fleet_simulation.py
@@ -17,7 +17,7 @@
 from api_gateway.model.results import AttemptResult
 from api_gateway.model.settings import Idempotency
 from support.event_simulation import EventSimulation
-from support.gateway_driver import OPEN, SAFE, settings
+from support.gateway_driver import OPEN_PLAN, READ_CLASS, settings
 
 CAPACITY_PER_S = 25.0  # requests a second that a warm endpoint serves
 SLOW_START_MIN_WEIGHT = 0.2
@@ -65,8 +65,8 @@
         self._seed = seed
         self._overload_multiple, self._slow_start_s = overload_multiple, slow_start_s
         self._settings = settings(
-            classes=(dataclasses.replace(SAFE, idempotency=Idempotency.IDEMPOTENT),),
-            plans=(OPEN,),
+            classes=(dataclasses.replace(READ_CLASS, idempotency=Idempotency.IDEMPOTENT),),
+            plans=(OPEN_PLAN,),
             fleet_size=gateways,
             slow_start_min_weight=SLOW_START_MIN_WEIGHT,
             slow_start_ms=1000 * slow_start_s,
--- a/tests/support/gateway_driver.py
+++ b/tests/support/gateway_driver.py
@@ -18,8 +18,8 @@
 from api_gateway.model.results import AttemptResult, CounterResult
 from api_gateway.model.settings import Idempotency, KeyScope, Plan, RequestClass, Settings
 
-SAFE = RequestClass("read", latency_objective_ms=1000, deadline_ms=4000, priority_weight=3)
-KEYED = RequestClass(
+READ_CLASS = RequestClass("read", latency_objective_ms=1000, deadline_ms=4000, priority_weight=3)
+PUT_CLASS = RequestClass(
     "put",
     latency_objective_ms=1000,
     deadline_ms=4000,
@@ -28,15 +28,15 @@
     idempotency_key_scope=KeyScope.ZONE,
     idempotency_window_ms=3000,
 )
-UNSAFE = RequestClass(
+PAY_CLASS = RequestClass(
     "pay",
     latency_objective_ms=1000,
     deadline_ms=4000,
     priority_weight=5,
     idempotency=Idempotency.NOT_IDEMPOTENT,
 )
-PLAN = Plan("basic", quota_rate=2, quota_burst=6)
-CAPPED = Plan(
+BASIC_PLAN = Plan("basic", quota_rate=2, quota_burst=6)
+CAPPED_PLAN = Plan(
     "capped",
     quota_rate=5,
     quota_burst=10,
@@ -46,13 +46,13 @@
     ceiling_burst=20,
     ceiling_tolerance=2,
 )
-OPEN = Plan("open")
+OPEN_PLAN = Plan("open")
 
 
 def settings(**changes: object) -> Settings:
     base = Settings(
-        classes=(SAFE, KEYED, UNSAFE),
-        plans=(PLAN, CAPPED, OPEN),
+        classes=(READ_CLASS, PUT_CLASS, PAY_CLASS),
+        plans=(BASIC_PLAN, CAPPED_PLAN, OPEN_PLAN),
         fleet_size=3,
         zone="a",
         max_attempts=4,
@@ -72,115 +72,126 @@
 class GatewayDriver:
     """A gateway with its clock, its open attempts and a counter of request ids."""
 
-    def __init__(self, endpoints: int = 4, seed: int = 1, now: float = 1e6, **changes: object) -> None:
+    def __init__(self, endpoints: int = 4, seed: int = 1, now_ms: float = 1e6, **changes: object) -> None:
         self.gateway = Gateway(settings(**changes), seed)
-        self.now = now
+        self.now_ms = now_ms
         self.serial = 0
-        self.totals: dict[str, float] = {}  # the shared counter, and how many calls it has answered
-        self.answered = 0
-        self.log: list[tuple[float, Action]] = []
-        self.give(EndpointUpdate(UpdateKind.CACHED, tuple(endpoint(i) for i in range(endpoints))))
-
-    def give(self, event: Event, after: float = 0.0) -> list[Action]:
-        self.now += after
-        out = self.gateway.handle(self.now, event)
-        self.log += [(self.now, action) for action in out]
-        return out
-
-    def ask(
+        self.counter_values: dict[str, float] = {}  # the shared counter, and how many calls it has answered
+        self.counter_replies = 0
+        self.action_log: list[tuple[float, Action]] = []
+        self.deliver(EndpointUpdate(UpdateKind.CACHED, tuple(endpoint(i) for i in range(endpoints))))
+
+    def deliver(self, event: Event, after_ms: float = 0.0) -> list[Action]:
+        self.now_ms += after_ms
+        actions = self.gateway.handle(self.now_ms, event)
+        self.action_log += [(self.now_ms, action) for action in actions]
+        return actions
+
+    def send_request(
         self,
-        cls: str = "read",
+        class_name: str = "read",
         plan: str = "open",
         tenant: str = "c",
         time_left_ms: float = 4000,
         units: float = 1,
-        after: float = 0.0,
+        after_ms: float = 0.0,
         gateway_count: int = 3,
     ) -> tuple[str, list[Action]]:
         self.serial += 1
         request_id = f"r{self.serial}"
-        return request_id, self.give(
-            RequestReceived(request_id, cls, plan, tenant, time_left_ms, units, gateway_count, 0), after
+        return request_id, self.deliver(
+            RequestReceived(request_id, class_name, plan, tenant, time_left_ms, units, gateway_count, 0),
+            after_ms,
         )
 
-    def end(
+    def end_attempt(
         self,
         request_id: str,
         result: AttemptResult = AttemptResult.OK,
         duration_ms: float = 50,
         attempt: int | None = None,
         actual_units: float = 0.0,
-        after: float = 0.0,
+        after_ms: float = 0.0,
     ) -> list[Action]:
-        sends = [a for _, a in self.log if isinstance(a, StartAttempt) and a.request_id == request_id]
-        n = len(sends) - 1 if attempt is None else attempt
-        return self.give(
+        starts = [a for _, a in self.action_log if isinstance(a, StartAttempt) and a.request_id == request_id]
+        number = len(starts) - 1 if attempt is None else attempt
+        return self.deliver(
             AttemptEnded(
                 request_id,
-                n,
-                sends[n].endpoint,
+                number,
+                starts[number].endpoint,
                 result,
                 duration_ms,
                 result == AttemptResult.OK,
                 actual_units=actual_units,
             ),
-            after,
+            after_ms,
         )
 
-    def sweep(self, times: int = 1, every: float = 100) -> None:
+    def sweep(self, times: int = 1, interval_ms: float = 100) -> None:
         for _ in range(times):
-            self.give(TimerFired("sweep"), every)
+            self.deliver(TimerFired("sweep"), interval_ms)
 
 
 def endpoint(i: int, **changes: object) -> Endpoint:
     return dataclasses.replace(Endpoint(f"h{i}", "ab"[i % 2], i % 2), **changes)
 
 
-def actions_of_type(out: list[Action], kind: type) -> list:
-    return [a for a in out if isinstance(a, kind)]
+def actions_of_type(actions: list[Action], action_type: type) -> list:
+    return [a for a in actions if isinstance(a, action_type)]
 
 
-def calls_of(driver: GatewayDriver) -> list[IncrementCounter]:
-    return [a for _, a in driver.log if isinstance(a, IncrementCounter)]
+def counter_calls(driver: GatewayDriver) -> list[IncrementCounter]:
+    return [a for _, a in driver.action_log if isinstance(a, IncrementCounter)]
 
 
-def drive(driver: GatewayDriver, n: int, peer_usage: float = 0.0, lose_at: int = -1, **how: object) -> int:
-    """Send n requests, 1 ms apart; peers add `peer_usage` before each, the counter answers at once."""
+def send_requests(
+    driver: GatewayDriver,
+    count: int,
+    peer_usage: float = 0.0,
+    reset_counter_at: int = -1,
+    **request_options: object,
+) -> int:
+    """Send `count` requests, 1 ms apart; peers add `peer_usage` before each, the counter answers at once."""
     sent = 0
-    for i in range(n):
-        if i == lose_at:
-            driver.totals = dict.fromkeys(driver.totals, 0.0)
-        driver.totals = {name: total + peer_usage for name, total in driver.totals.items()}
-        request_id, _ = driver.ask(after=1, **how)
-        while driver.answered < len(calls := calls_of(driver)):
-            action = calls[driver.answered]
-            driver.answered += 1
-            driver.totals[action.name] = driver.totals.get(action.name, 0.0) + action.amount
-            driver.give(CounterReply(action.name, CounterResult.OK, driver.totals[action.name]))
-        sent += any(isinstance(a, StartAttempt) and a.request_id == request_id for _, a in driver.log)
+    for i in range(count):
+        if i == reset_counter_at:
+            driver.counter_values = dict.fromkeys(driver.counter_values, 0.0)
+        driver.counter_values = {name: value + peer_usage for name, value in driver.counter_values.items()}
+        request_id, _ = driver.send_request(after_ms=1, **request_options)
+        while driver.counter_replies < len(calls := counter_calls(driver)):
+            action = calls[driver.counter_replies]
+            driver.counter_replies += 1
+            driver.counter_values[action.name] = driver.counter_values.get(action.name, 0.0) + action.amount
+            driver.deliver(CounterReply(action.name, CounterResult.OK, driver.counter_values[action.name]))
+        sent += any(isinstance(a, StartAttempt) and a.request_id == request_id for _, a in driver.action_log)
     return sent
 
 
-def ask_with_totals(
-    driver: GatewayDriver, units: float, total: float, after: float = 0.0, before: float = 0.0
+def send_request_with_counter_values(
+    driver: GatewayDriver,
+    units: float,
+    counter_value: float,
+    after_ms: float = 0.0,
+    previous_counter_value: float = 0.0,
 ) -> list[Action]:
     """Send a request and answer its counter calls.
 
     Args:
         driver: The gateway.
         units: Units of the request.
-        total: Total of this window's count.
-        after: Milliseconds before the request.
-        before: Total of the last window's count.
+        counter_value: Total of this window's count.
+        after_ms: Milliseconds before the request.
+        previous_counter_value: Total of the last window's count.
 
     Returns:
         All actions.
     """
-    _, actions = driver.ask(plan="basic", units=units, after=after, gateway_count=20)
+    _, actions = driver.send_request(plan="basic", units=units, after_ms=after_ms, gateway_count=20)
     actions = list(actions)
-    count = next(a for a in actions if isinstance(a, IncrementCounter))
-    actions += driver.give(CounterReply(count.name, CounterResult.OK, total), 2)
+    call = next(a for a in actions if isinstance(a, IncrementCounter))
+    actions += driver.deliver(CounterReply(call.name, CounterResult.OK, counter_value), 2)
     last = actions[-1]
-    if isinstance(last, IncrementCounter) and last.name != count.name and last.amount == 0:
-        actions += driver.give(CounterReply(last.name, CounterResult.OK, before), 2)
+    if isinstance(last, IncrementCounter) and last.name != call.name and last.amount == 0:
+        actions += driver.deliver(CounterReply(last.name, CounterResult.OK, previous_counter_value), 2)
     return actions
--- a/tests/test_acceptance_idempotency_window.py
+++ b/tests/test_acceptance_idempotency_window.py
@@ -16,7 +16,7 @@
     start_dispatcher,
     submit_with_held_connect,
 )
-from support.gateway_driver import KEYED, GatewayDriver, actions_of_type, endpoint
+from support.gateway_driver import PUT_CLASS, GatewayDriver, actions_of_type, endpoint
 from support.http_fakes import FakeServer, instance, response_bytes
 from support.program import run_scenario
 
@@ -36,17 +36,17 @@
 def test_retry_carries_what_is_left_of_the_window() -> None:
     """The window runs from the first attempt that may have run; one that never ran does not start it."""
     driver = GatewayDriver()
-    request_id, actions = driver.ask("put")
+    request_id, actions = driver.send_request("put")
     (first,) = actions_of_type(actions, StartAttempt)
     assert first.write_timeout_ms == math.inf
-    actions = driver.end(request_id, AttemptResult.CONNECTION_RESET, after=700)
+    actions = driver.end_attempt(request_id, AttemptResult.CONNECTION_RESET, after_ms=700)
     (retry,) = actions_of_type(actions, StartAttempt)
     assert (
         retry.write_timeout_ms
-        == KEYED.idempotency_window_ms - 700 - 2 * driver.gateway.settings.clock_tick_ms
+        == PUT_CLASS.idempotency_window_ms - 700 - 2 * driver.gateway.settings.clock_tick_ms
     )
-    request_id, _ = driver.ask("put")
-    actions = driver.end(request_id, AttemptResult.CONNECT_FAILED, after=700)
+    request_id, _ = driver.send_request("put")
+    actions = driver.end_attempt(request_id, AttemptResult.CONNECT_FAILED, after_ms=700)
     (retry,) = actions_of_type(actions, StartAttempt)
     assert retry.write_timeout_ms == math.inf
 
@@ -189,5 +189,5 @@
     driver = GatewayDriver()
     state = driver.gateway.endpoints["h0"]
     state.slow_start_budget = 5.0
-    driver.give(EndpointUpdate(UpdateKind.CHANGES, (endpoint(0, started_at_ms=driver.now),)))
+    driver.deliver(EndpointUpdate(UpdateKind.CHANGES, (endpoint(0, started_at_ms=driver.now_ms),)))
     assert state.slow_start_budget == 0
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -27,16 +27,16 @@
     driver: GatewayDriver, duration_ms: list[float], in_flight: int, rounds: int = 120
 ) -> float:
     """Return the fraction after `in_flight` requests at a time, each answered after `duration_ms` of 1 s."""
-    waiting = [driver.ask()[0] for _ in range(in_flight)]
+    waiting = [driver.send_request()[0] for _ in range(in_flight)]
     for n in range(rounds):
         driver.sweep(1)
-        driver.end(waiting.pop(0), duration_ms=duration_ms[n % len(duration_ms)])
-        waiting.append(driver.ask()[0])
-        if not any(isinstance(a, StartAttempt) and a.request_id == waiting[-1] for _, a in driver.log):
+        driver.end_attempt(waiting.pop(0), duration_ms=duration_ms[n % len(duration_ms)])
+        waiting.append(driver.send_request()[0])
+        if not any(isinstance(a, StartAttempt) and a.request_id == waiting[-1] for _, a in driver.action_log):
             waiting.pop()
             request_id = next(
                 r
-                for r, actions in iter(lambda: driver.ask(), None)
+                for r, actions in iter(lambda: driver.send_request(), None)
                 if any(isinstance(a, StartAttempt) for a in actions)
             )
             waiting.append(request_id)
@@ -61,18 +61,18 @@
 
 def test_accumulator_admits_two_of_five_at_a_fraction_of_0_4() -> None:
     driver = GatewayDriver()
-    driver.ask()
+    driver.send_request()
     share = driver.gateway.admission.shares[("read", "open")]
     share.fraction, share.accumulator = 0.4, 0.0
-    sent = [bool(actions_of_type(driver.ask()[1], StartAttempt)) for _ in range(10)]
+    sent = [bool(actions_of_type(driver.send_request()[1], StartAttempt)) for _ in range(10)]
     assert sent == [False, False, True, False, True] * 2
 
 
 def test_overload_sheds_the_least_weight_for_its_work_first() -> None:
     driver = GatewayDriver()
     for _ in range(5):
-        driver.ask("read")
-        driver.ask("put")
+        driver.send_request("read")
+        driver.send_request("put")
     driver.gateway.admission.occupancy.smoothed = (
         occupancy.MIN_SHED_OCCUPANCY + admission.MAX_SHED_OCCUPANCY
     ) / 2
@@ -104,9 +104,9 @@
     driver = GatewayDriver(endpoints=3)
     fs = []
     for n in range(80):
-        request_id = driver.ask(after=100)[0]
-        driver.end(request_id, duration_ms=900 if n % 20 == 19 else 60)
-        driver.sweep(1, every=1)
+        request_id = driver.send_request(after_ms=100)[0]
+        driver.end_attempt(request_id, duration_ms=900 if n % 20 == 19 else 60)
+        driver.sweep(1, interval_ms=1)
         if n > 30:
             fs.append(driver.gateway.admission.fraction)
     assert min(fs) > 0.9
--- a/tests/test_ceiling.py
+++ b/tests/test_ceiling.py
@@ -27,7 +27,7 @@
     plan = settings().plans[1]
     now, store, last, sends = 5e5, plan.ceiling_burst, 5e5, 0
     units: dict[str, int] = {}
-    fleet = [GatewayDriver(now=now, seed=i, gateway_index=i) for i in range(3)]
+    fleet = [GatewayDriver(now_ms=now, seed=i, gateway_index=i) for i in range(3)]
 
     def note(driver: GatewayDriver, out: list[Action]) -> None:
         nonlocal store, last, sends
@@ -39,24 +39,27 @@
             assert store >= -1e-6
             note(
                 driver,
-                driver.give(AttemptEnded(action.request_id, 0, action.endpoint, AttemptResult.OK, 50, True)),
+                driver.deliver(
+                    AttemptEnded(action.request_id, 0, action.endpoint, AttemptResult.OK, 50, True)
+                ),
             )
         for action in actions_of_type(out, IncrementCounter):
             result = rng.choice([CounterResult.OK, CounterResult.TIMED_OUT, CounterResult.OVERLOADED])
             note(
-                driver, driver.give(CounterReply(action.name, result, rng.choice([action.amount, 0.0, 50.0])))
+                driver,
+                driver.deliver(CounterReply(action.name, result, rng.choice([action.amount, 0.0, 50.0]))),
             )
 
     for step in range(3000):
         now += rng.expovariate(1 / 10)
         if rng.random() < 0.002:
             i = rng.randrange(3)
-            fleet[i] = GatewayDriver(now=now, seed=step, gateway_index=i)
+            fleet[i] = GatewayDriver(now_ms=now, seed=step, gateway_index=i)
         driver = fleet[rng.choice([0, 0, 1, 2]) if step % 1000 < 700 else 2]
-        driver.now, driver.serial = now, step
+        driver.now_ms, driver.serial = now, step
         units[f"r{step + 1}"] = size = rng.choice([1, 1, 2])
-        note(driver, driver.ask(plan="capped", units=size)[1])
-        note(driver, driver.give(TimerFired("sweep")))
+        note(driver, driver.send_request(plan="capped", units=size)[1])
+        note(driver, driver.deliver(TimerFired("sweep")))
     assert sends > 100
 
 
@@ -64,22 +67,24 @@
     rng = random.Random(4)
     plan = settings().plans[1]
     now, store, last, sends = 5e5, plan.ceiling_burst, 5e5, 0
-    fleet = [GatewayDriver(now=now, seed=i, gateway_index=i, fleet_size=300, endpoints=2) for i in range(10)]
+    fleet = [
+        GatewayDriver(now_ms=now, seed=i, gateway_index=i, fleet_size=300, endpoints=2) for i in range(10)
+    ]
     for step in range(4000):
         now += rng.expovariate(1 / 5)
         i = rng.randrange(10)
         if rng.random() < 0.01:
-            fleet[i] = GatewayDriver(now=now, seed=step, gateway_index=i, fleet_size=300, endpoints=2)
+            fleet[i] = GatewayDriver(now_ms=now, seed=step, gateway_index=i, fleet_size=300, endpoints=2)
         driver = fleet[i]
-        driver.now, driver.serial = now, step
-        request_id, out = driver.ask(plan="capped", gateway_count=10)
+        driver.now_ms, driver.serial = now, step
+        request_id, out = driver.send_request(plan="capped", gateway_count=10)
         for action in actions_of_type(out, IncrementCounter):
             result = rng.choice([CounterResult.OK, CounterResult.TIMED_OUT])
-            out = out + driver.give(CounterReply(action.name, result, rng.choice([0.0, 90.0])))
+            out = out + driver.deliver(CounterReply(action.name, result, rng.choice([0.0, 90.0])))
         for _ in actions_of_type(out, StartAttempt):
             store = min(plan.ceiling_burst, store + (now - last) * plan.ceiling_rate / 1000) - 1
             last, sends = now, sends + 1
             assert store >= -1e-6
-        if request_id in driver.gateway.pending:
-            driver.end(request_id)
+        if request_id in driver.gateway.pending_requests:
+            driver.end_attempt(request_id)
     assert sends > 50
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -47,7 +47,11 @@
         assert fake.received[1].start_line == "POST /v1/count/b?add=-2.5&ttl_ms=4000 HTTP/1.1"
         fake.received[0].writer.write(response_bytes(b"7") + response_bytes(b"9"))
         counter_reply = await replies.get()
-        assert (counter_reply.name, counter_reply.result, counter_reply.total) == ("b", CounterResult.OK, 9)
+        assert (counter_reply.name, counter_reply.result, counter_reply.counter_value) == (
+            "b",
+            CounterResult.OK,
+            9,
+        )
         assert replies.empty()
         counter.stop()
         fake.stop()
@@ -110,7 +114,7 @@
         await asyncio.sleep(0.4)
         fake.received[0].writer.write(response_bytes(b"7"))
         counter_reply = await replies.get()
-        assert (counter_reply.result, counter_reply.total) == (CounterResult.OK, 7)
+        assert (counter_reply.result, counter_reply.counter_value) == (CounterResult.OK, 7)
         counter.stop()
         fake.stop()
 
@@ -282,7 +286,7 @@
         assert (await replies.get()).result == CounterResult.MALFORMED_RESPONSE
         counter.increment(IncrementCounter("a", 1, 1000))
         counter_reply = await replies.get()
-        assert (counter_reply.result, counter_reply.total) == (CounterResult.OK, 2)
+        assert (counter_reply.result, counter_reply.counter_value) == (CounterResult.OK, 2)
         old.stop()
         new.stop()
 
--- a/tests/test_counter_health.py
+++ b/tests/test_counter_health.py
@@ -24,12 +24,12 @@
     def calls(result: CounterResult, n: int = 60) -> int:
         made = 0
         for _ in range(n):
-            request_id, out = driver.ask(plan="basic", tenant=f"k{driver.serial}", after=20)
+            request_id, out = driver.send_request(plan="basic", tenant=f"k{driver.serial}", after_ms=20)
             for action in actions_of_type(out, IncrementCounter):
                 made += 1
-                out = out + driver.give(CounterReply(action.name, result, action.amount))
-            if request_id in driver.gateway.pending:
-                driver.end(request_id)
+                out = out + driver.deliver(CounterReply(action.name, result, action.amount))
+            if request_id in driver.gateway.pending_requests:
+                driver.end_attempt(request_id)
         return made
 
     assert calls(CounterResult.OK) == 60
@@ -47,9 +47,9 @@
 
 def test_a_malformed_total_is_an_answer_and_its_amount_counts() -> None:
     driver = GatewayDriver()
-    _rid, out = driver.ask(plan="basic", tenant="k", units=2)
+    _rid, out = driver.send_request(plan="basic", tenant="k", units=2)
     (call,) = actions_of_type(out, IncrementCounter)
-    out = driver.give(CounterReply(call.name, CounterResult.MALFORMED_RESPONSE, 0.0))
+    out = driver.deliver(CounterReply(call.name, CounterResult.MALFORMED_RESPONSE, 0.0))
     assert actions_of_type(out, StartAttempt)  # decided at once
     tenant = driver.gateway.tenants["k", "basic"]
     assert driver.gateway.counter_health.answered_ratio == 1.0
--- a/tests/test_decisions_package.py
+++ b/tests/test_decisions_package.py
@@ -8,7 +8,7 @@
 
 from support.http_fakes import ROOT
 
-IMPURE = {
+FORBIDDEN_MODULES = {
     "time",
     "datetime",
     "socket",
@@ -21,9 +21,9 @@
     "uuid",
 }
 
-MODULE_LINES = 300  # in one file of the decisions, blank ones not counted
+MAX_MODULE_LINES = 300  # in one file of the decisions, blank ones not counted
 
-FUNCTION_LINES = 45
+MAX_FUNCTION_LINES = 45
 
 
 def test_decisions_import_nothing_but_the_model_and_the_standard_library() -> None:
@@ -34,9 +34,9 @@
             names = [a.name for a in node.names] if isinstance(node, ast.Import) else []
             names += [node.module] if isinstance(node, ast.ImportFrom) else []
             for name in names:
-                ours = name.startswith(("api_gateway.model.", "api_gateway.decisions."))
-                assert ours or name.split(".")[0] in sys.stdlib_module_names
-                assert name.split(".")[0] not in IMPURE, f"{file.name} imports {name}"
+                is_project_module = name.startswith(("api_gateway.model.", "api_gateway.decisions."))
+                assert is_project_module or name.split(".")[0] in sys.stdlib_module_names
+                assert name.split(".")[0] not in FORBIDDEN_MODULES, f"{file.name} imports {name}"
             if isinstance(node, ast.Attribute) and isinstance(node.value, ast.Name):
                 assert node.value.id != "random" or node.attr == "Random", file.name
 
@@ -49,7 +49,7 @@
     for file in files:
         lines = file.read_text().splitlines()
         assert max(map(len, lines)) <= 110
-        assert sum(1 for line in lines if line.strip()) <= MODULE_LINES
+        assert sum(1 for line in lines if line.strip()) <= MAX_MODULE_LINES
         for node in ast.walk(ast.parse(file.read_text())):
             if isinstance(node, ast.FunctionDef):
-                assert node.end_lineno - node.lineno < FUNCTION_LINES, node.name
+                assert node.end_lineno - node.lineno < MAX_FUNCTION_LINES, node.name
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -67,7 +67,7 @@
 def test_rejections_do_not_depend_on_the_scale_of_time(time_scale: float) -> None:
     load = single_class_load(0.5, 20 / max(time_scale, 1.0), time_scale=time_scale)
     simulation = EndpointSimulation([load], seed=1).run(30 * max(time_scale, 1.0))
-    assert simulation.counts["read"].rejected_share < 0.02
+    assert simulation.counts["read"].rejected_fraction < 0.02
 
 
 def test_scaled_weights_and_reordered_classes_change_nothing() -> None:
@@ -89,8 +89,8 @@
 def test_no_class_starves_while_endpoints_are_idle() -> None:
     loads = [Load(SHORT_OBJECTIVE, 45, 20), Load(LONG_OBJECTIVE, 100, 20)]
     counts = EndpointSimulation(loads, seed=1).run(30).counts
-    assert counts["short"].rejected_share < 0.02 and counts["short"].served_share > 0.85
-    assert counts["long"].rejected_share < 0.02 and counts["long"].served_share > 0.97
+    assert counts["short"].rejected_fraction < 0.02 and counts["short"].served_fraction > 0.85
+    assert counts["long"].rejected_fraction < 0.02 and counts["long"].served_fraction > 0.97
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -99,9 +99,11 @@
     simulation = EndpointSimulation(loads, seed=seed, **QUEUEING_ENDPOINTS).run(5, load_factor=0.4)
     simulation.reset_counts()
     counts = simulation.run(20, load_factor=1.5).counts
-    assert counts["short"].rejected_share < counts["long"].rejected_share, "more weight, less service time"
-    assert counts["long"].served_share > 0.25, "half of the served share that is aimed at"
-    assert counts["short"].served_share > 0.25
+    assert counts["short"].rejected_fraction < counts["long"].rejected_fraction, (
+        "more weight, less service time"
+    )
+    assert counts["long"].served_fraction > 0.25, "half of the served share that is aimed at"
+    assert counts["short"].served_fraction > 0.25
 
 
 @pytest.mark.parametrize("service_share", [0.05, 0.1, 0.2, 0.3, 0.5])
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -11,7 +11,7 @@
 import socket
 
 import pytest
-from support.gateway_driver import PLAN, SAFE, settings
+from support.gateway_driver import BASIC_PLAN, READ_CLASS, settings
 from support.http_fakes import LOOPBACK, request_bytes
 from support.program import async_test
 
@@ -28,8 +28,8 @@
     """
 
     def __init__(self) -> None:
-        plan = dataclasses.replace(PLAN, name="team")
-        self.settings = settings(classes=(SAFE,), plans=(plan,), fleet_size=1)
+        plan = dataclasses.replace(BASIC_PLAN, name="team")
+        self.settings = settings(classes=(READ_CLASS,), plans=(plan,), fleet_size=1)
         self.draining = False
         self.terminated = False
         self.request_ids: list[bytes] = []
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -21,19 +21,19 @@
 
 def test_late_and_unknown_events_are_ignored() -> None:
     driver = GatewayDriver()
-    request_id, _ = driver.ask()
-    driver.end(request_id)
-    assert driver.end(request_id) == []
-    assert driver.give(AttemptEnded("nobody", 0, "h0", AttemptResult.OK, 5, True)) == []
-    assert driver.give(CounterReply("no.such", CounterResult.OK, 5)) == []
-    assert driver.give(TimerFired("of an earlier life")) == []
-    assert driver.give(ClientDisconnected("nobody")) == []
+    request_id, _ = driver.send_request()
+    driver.end_attempt(request_id)
+    assert driver.end_attempt(request_id) == []
+    assert driver.deliver(AttemptEnded("nobody", 0, "h0", AttemptResult.OK, 5, True)) == []
+    assert driver.deliver(CounterReply("no.such", CounterResult.OK, 5)) == []
+    assert driver.deliver(TimerFired("of an earlier life")) == []
+    assert driver.deliver(ClientDisconnected("nobody")) == []
 
 
 def test_errors_name_the_wrong_event_or_setting() -> None:
     driver = GatewayDriver()
     with pytest.raises(TypeError, match="not an event"):
-        driver.give("hello")
+        driver.deliver("hello")
     for changes, word in [
         ({"classes": ()}, "classes"),
         ({"gateway_index": 3}, "gateway_index"),
@@ -53,7 +53,7 @@
         raise RuntimeError
 
     with monkeypatch.context() as patch:
-        patch.setattr(driver.gateway.attempts, "start", fail)
+        patch.setattr(driver.gateway.attempt_flow, "start", fail)
         with pytest.raises(RuntimeError):
-            driver.ask(plan="basic", time_left_ms=200)  # after it has added a counter call
-    assert driver.give(TimerFired("unknown")) == []
+            driver.send_request(plan="basic", time_left_ms=200)  # after it has added a counter call
+    assert driver.deliver(TimerFired("unknown")) == []
--- a/tests/test_gateway_random_events.py
+++ b/tests/test_gateway_random_events.py
@@ -36,104 +36,104 @@
 ]
 
 
-def odd_settings(r: random.Random) -> Settings:
+def random_settings(rng: random.Random) -> Settings:
     classes = tuple(
         RequestClass(
             f"c{i}",
-            latency_objective_ms=r.choice([1, 50, 1000]),
-            deadline_ms=r.choice([10, 4000]),
-            priority_weight=r.choice([0, 1, 5]),
-            late_priority_weight=r.choice([0, 0.5]),
-            idempotency=r.choice(list(Idempotency)),
-            idempotency_key_scope=r.choice(list(KeyScope)),
-            idempotency_window_ms=r.choice([0, 100, 3000]),
-            streamed=r.random() < 0.3,
+            latency_objective_ms=rng.choice([1, 50, 1000]),
+            deadline_ms=rng.choice([10, 4000]),
+            priority_weight=rng.choice([0, 1, 5]),
+            late_priority_weight=rng.choice([0, 0.5]),
+            idempotency=rng.choice(list(Idempotency)),
+            idempotency_key_scope=rng.choice(list(KeyScope)),
+            idempotency_window_ms=rng.choice([0, 100, 3000]),
+            streamed=rng.random() < 0.3,
         )
         for i in range(3)
     )
     plans = tuple(
         Plan(
             f"p{i}",
-            quota_rate=r.choice([0, 0.01, 2, 50]),
-            quota_burst=r.choice([0, 1, 6]),
-            max_concurrent_requests=r.choice([0, 2]),
-            over_quota_weight=r.choice([0, 0.5]),
-            ceiling_rate=r.choice([0, 3]),
-            ceiling_burst=r.choice([0, 8]),
+            quota_rate=rng.choice([0, 0.01, 2, 50]),
+            quota_burst=rng.choice([0, 1, 6]),
+            max_concurrent_requests=rng.choice([0, 2]),
+            over_quota_weight=rng.choice([0, 0.5]),
+            ceiling_rate=rng.choice([0, 3]),
+            ceiling_burst=rng.choice([0, 8]),
         )
         for i in range(3)
     )
     return Settings(
         classes=classes,
         plans=plans,
-        fleet_size=r.choice([1, 3, 300]),
-        max_attempts=r.choice([0, 1, 4]),
-        hedging_allowed=r.random() < 0.5,
-        cancellation_supported=r.random() < 0.5,
-        max_retry_after_ms=r.choice([0, 500]),
-        discovery_by_polling=r.random() < 0.5,
-        counter_enabled=r.random() < 0.6,
-        clock_tick_ms=r.choice([0, 4]),
-        slow_start_min_weight=r.choice([0, 0.2, 1]),
-        slow_start_ms=r.choice([0, 9000]),
-        overload_multiple=r.choice([0, 3]),
-        overload_window_ms=r.choice([0, 2000]),
+        fleet_size=rng.choice([1, 3, 300]),
+        max_attempts=rng.choice([0, 1, 4]),
+        hedging_allowed=rng.random() < 0.5,
+        cancellation_supported=rng.random() < 0.5,
+        max_retry_after_ms=rng.choice([0, 500]),
+        discovery_by_polling=rng.random() < 0.5,
+        counter_enabled=rng.random() < 0.6,
+        clock_tick_ms=rng.choice([0, 4]),
+        slow_start_min_weight=rng.choice([0, 0.2, 1]),
+        slow_start_ms=rng.choice([0, 9000]),
+        overload_multiple=rng.choice([0, 3]),
+        overload_window_ms=rng.choice([0, 2000]),
         counter_timeout_ms=30,
     )
 
 
-def odd_event(
-    r: random.Random,
+def random_event(
+    rng: random.Random,
     step: int,
-    now: float,
-    ids: list[str],
-    calls: list[str],
-    sends: list[tuple[str, int, str]],
+    now_ms: float,
+    request_ids: list[str],
+    count_names: list[str],
+    attempts: list[tuple[str, int, str]],
 ) -> Event:
-    kind = r.choice(
+    kind = rng.choice(
         ["list", "request", "request", "request", "outcome", "outcome", "count", "other", "sweep"]
     )
     if kind == "request":
-        ids.append(f"r{step}")
+        request_ids.append(f"r{step}")
         return RequestReceived(
-            ids[-1],
-            r.choice(["c0", "c1", "c2", "zz"]),
-            r.choice(["p0", "p1", "p2", "zz"]),
-            f"k{r.randrange(6)}",
-            r.choice([-1, 0, 5, 4000]),
-            r.choice([0, 0.5, 1, 4]),
-            r.choice([0, 1, 2, 3, 4, 10**6]),
-            r.choice([-7, 0, 1, 10**6]),
+            request_ids[-1],
+            rng.choice(["c0", "c1", "c2", "zz"]),
+            rng.choice(["p0", "p1", "p2", "zz"]),
+            f"k{rng.randrange(6)}",
+            rng.choice([-1, 0, 5, 4000]),
+            rng.choice([0, 0.5, 1, 4]),
+            rng.choice([0, 1, 2, 3, 4, 10**6]),
+            rng.choice([-7, 0, 1, 10**6]),
         )
-    if kind == "outcome" and sends:
-        rid, attempt, host = r.choice(sends)
+    if kind == "outcome" and attempts:
+        request_id, attempt, endpoint_name = rng.choice(attempts)
         return AttemptEnded(
-            rid,
-            r.choice([attempt, attempt, 9]),
-            r.choice([host, "zz"]),
-            r.choice(RESULTS),
-            r.choice([0, 50, 1e5]),
-            r.random() < 0.3,
-            actual_units=r.choice([0, 3]),
-            load_report=r.choice([{}, {"mean_ms": -1.0}, {"x9": 1e300}]),
+            request_id,
+            rng.choice([attempt, attempt, 9]),
+            rng.choice([endpoint_name, "zz"]),
+            rng.choice(RESULTS),
+            rng.choice([0, 50, 1e5]),
+            rng.random() < 0.3,
+            actual_units=rng.choice([0, 3]),
+            load_report=rng.choice([{}, {"mean_ms": -1.0}, {"x9": 1e300}]),
         )
     if kind == "list":
-        servers = [
+        endpoints = [
             Endpoint(
                 f"h{i}",
-                r.choice("ab"),
+                rng.choice("ab"),
                 i % 2,
-                r.choice([EndpointStatus.UP, *EndpointStatus]),
-                r.choice([0, 1, 2]),
-                r.choice([0, now]),
+                rng.choice([EndpointStatus.UP, *EndpointStatus]),
+                rng.choice([0, 1, 2]),
+                rng.choice([0, now_ms]),
             )
-            for i in range(r.randrange(5))
+            for i in range(rng.randrange(5))
         ]
-        return EndpointUpdate(r.choice(list(UpdateKind)), tuple(servers))
+        return EndpointUpdate(rng.choice(list(UpdateKind)), tuple(endpoints))
     if kind == "count":
         return CounterReply(
-            r.choice(calls or ["x"]),
-            r.choice(
+            rng.choice(count_names or ["x"]),
+            rng.choice(
                 [
                     CounterResult.OK,
                     CounterResult.OVERLOADED,
@@ -141,13 +141,13 @@
                     CounterResult.CONNECTION_LOST,
                 ]
             ),
-            r.choice([0, 5, -3, 1e9]),
+            rng.choice([0, 5, -3, 1e9]),
         )
-    if kind == "other" and ids:
-        return r.choice(
+    if kind == "other" and request_ids:
+        return rng.choice(
             [
-                ClientDisconnected(r.choice(ids)),
-                ResponseStarted(r.choice(ids), 0),
+                ClientDisconnected(rng.choice(request_ids)),
+                ResponseStarted(rng.choice(request_ids), 0),
                 TimerFired("old"),
                 HealthCheckEnded("h0", AttemptResult.OK, 1.0, {"x9": -1.0}),
                 HealthCheckEnded("zz", AttemptResult.TIMED_OUT, 1e9),
@@ -160,23 +160,31 @@
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_nothing_raises_and_no_answer_comes_twice(seed: int) -> None:
-    r = random.Random(seed)
-    gateway, now = Gateway(odd_settings(r), seed), 1e5
-    ids: list[str] = []
-    calls: list[str] = []
-    sends: list[tuple[str, int, str]] = []
-    answered: set[str] = set()
+def test_no_event_raises_and_no_request_has_two_final_responses(seed: int) -> None:
+    rng = random.Random(seed)
+    gateway, now_ms = Gateway(random_settings(rng), seed), 1e5
+    request_ids: list[str] = []
+    count_names: list[str] = []
+    attempts: list[tuple[str, int, str]] = []
+    finished: set[str] = set()
     for step in range(300):
-        now += r.expovariate(1 / 20)
-        for act in gateway.handle(now, odd_event(r, step, now, ids, calls, sends)):
-            if isinstance(act, StartAttempt):
-                assert act.request_id not in answered
-                sends.append((act.request_id, sum(1 for s in sends if s[0] == act.request_id), act.endpoint))
-            elif isinstance(act, RejectRequest | FailRequest):
-                assert act.request_id not in answered
-                answered.add(act.request_id)
-            elif isinstance(act, IncrementCounter):
-                calls.append(act.name)
-                assert len(act.name) <= 64
-    assert answered
+        now_ms += rng.expovariate(1 / 20)
+        for action in gateway.handle(
+            now_ms, random_event(rng, step, now_ms, request_ids, count_names, attempts)
+        ):
+            if isinstance(action, StartAttempt):
+                assert action.request_id not in finished
+                attempts.append(
+                    (
+                        action.request_id,
+                        sum(1 for s in attempts if s[0] == action.request_id),
+                        action.endpoint,
+                    )
+                )
+            elif isinstance(action, RejectRequest | FailRequest):
+                assert action.request_id not in finished
+                finished.add(action.request_id)
+            elif isinstance(action, IncrementCounter):
+                count_names.append(action.name)
+                assert len(action.name) <= 64
+    assert finished
--- a/tests/test_load_sampling.py
+++ b/tests/test_load_sampling.py
@@ -24,12 +24,12 @@
     driver.gateway.admission.occupancy.classes["read"].learned_baseline = 0.1
     weight = min(occupancy.MAX_INTERVAL_WEIGHT, 2 / occupancy.REMEMBERED_SAMPLES)
     for _ in range(2):
-        request_id, _ = driver.ask()
-        driver.end(request_id, duration_ms=500)
+        request_id, _ = driver.send_request()
+        driver.end_attempt(request_id, duration_ms=500)
     assert driver.gateway.admission.occupancy.pending_samples == 2
     driver.sweep()
     assert driver.gateway.admission.occupancy.smoothed == pytest.approx(weight * 0.5)
-    request_id, _ = driver.ask()
+    request_id, _ = driver.send_request()
     driver.sweep()
     assert driver.gateway.admission.occupancy.smoothed == pytest.approx(
         weight * 0.5
@@ -41,9 +41,9 @@
     driver.gateway.admission.occupancy.smoothed = 1.0
     served = 0
     for _ in range(20):  # two requests a second, answered fast
-        request_id, out = driver.ask(after=0)
+        request_id, out = driver.send_request(after_ms=0)
         if actions_of_type(out, StartAttempt):
-            driver.end(request_id, duration_ms=50, after=50)
+            driver.end_attempt(request_id, duration_ms=50, after_ms=50)
             served += 1
         driver.sweep(5)
     assert served >= 14
@@ -51,23 +51,23 @@
 
 def test_a_fresh_gateway_sees_an_overload_in_its_attempts_in_flight() -> None:
     driver = GatewayDriver()
-    rids = [driver.ask(after=20)[0] for _ in range(8)]
+    rids = [driver.send_request(after_ms=20)[0] for _ in range(8)]
     driver.sweep(6)
     assert driver.gateway.admission.fraction < 0.1  # nothing is answered, and much has taken long already
     for request_id in rids:
-        driver.end(request_id, duration_ms=60)
+        driver.end_attempt(request_id, duration_ms=60)
     driver.sweep()
     assert driver.gateway.admission.fraction == 1.0
 
 
 def test_a_stall_of_the_gateway_is_no_sample() -> None:
     driver = GatewayDriver()
-    request_id, _ = driver.ask()
-    driver.end(request_id, duration_ms=5000, after=5000)
+    request_id, _ = driver.send_request()
+    driver.end_attempt(request_id, duration_ms=5000, after_ms=5000)
     assert driver.gateway.admission.occupancy.pending_samples == 0
     driver.sweep()
-    request_id, _ = driver.ask()
-    driver.end(request_id, duration_ms=40, after=40)
+    request_id, _ = driver.send_request()
+    driver.end_attempt(request_id, duration_ms=40, after_ms=40)
     assert driver.gateway.admission.occupancy.pending_samples == 1
 
 
@@ -76,13 +76,13 @@
     driver.gateway.endpoints["h0"].latency_ratio = 10.0
     held_on_bad = None
     for _ in range(200):
-        request_id, out = driver.ask(after=5)
+        request_id, out = driver.send_request(after_ms=5)
         send = actions_of_type(out, StartAttempt)[0]
         if send.endpoint == "h0":
             held_on_bad = request_id
-            driver.end(request_id, AttemptResult.TIMED_OUT, duration_ms=1000)
+            driver.end_attempt(request_id, AttemptResult.TIMED_OUT, duration_ms=1000)
         else:
-            driver.end(request_id, duration_ms=50)
+            driver.end_attempt(request_id, duration_ms=50)
     driver.sweep(5)
     assert driver.gateway.admission.fraction == 1.0
     assert held_on_bad is None or driver.gateway.endpoints["h0"].latency_ratio > 1
@@ -91,13 +91,13 @@
 def test_an_outlier_gives_no_samples_but_a_slow_fleet_does() -> None:
     for median, samples in ((1.0, 0), (10.0, 1)):
         driver = GatewayDriver(endpoints=1)
-        request_id, _ = driver.ask()
-        driver.gateway.endpoints["h0"].latency_ratio, driver.gateway.outliers.median_latency_ratio = (
+        request_id, _ = driver.send_request()
+        driver.gateway.endpoints["h0"].latency_ratio, driver.gateway.outlier_detector.median_latency_ratio = (
             10.0,
             median,
         )
         driver.gateway.admission.occupancy.recent_good = 0.5
-        driver.end(request_id, AttemptResult.TIMED_OUT, duration_ms=90)
+        driver.end_attempt(request_id, AttemptResult.TIMED_OUT, duration_ms=90)
         assert driver.gateway.admission.occupancy.pending_samples == samples
 
 
@@ -105,10 +105,10 @@
     for duration_ms, pressed in ((50, False), (950, True)):
         driver = GatewayDriver(endpoints=8)
         for i in range(60):
-            request_id, _ = driver.ask(after=20)
-            if i % 4 == 0 and request_id in driver.gateway.pending:
-                driver.end(request_id, AttemptResult.TIMED_OUT, duration_ms=duration_ms)
-            if request_id in driver.gateway.pending:
-                driver.end(request_id, duration_ms=duration_ms)
-            driver.give(TimerFired("sweep"))
+            request_id, _ = driver.send_request(after_ms=20)
+            if i % 4 == 0 and request_id in driver.gateway.pending_requests:
+                driver.end_attempt(request_id, AttemptResult.TIMED_OUT, duration_ms=duration_ms)
+            if request_id in driver.gateway.pending_requests:
+                driver.end_attempt(request_id, duration_ms=duration_ms)
+            driver.deliver(TimerFired("sweep"))
         assert (driver.gateway.admission.fraction < 1) == pressed
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -16,23 +16,27 @@
 from api_gateway.model.results import AttemptResult
 
 
-def connects_to_unreachable(driver: GatewayDriver, names: set[str], requests: int, every: float) -> int:
+def connects_to_unreachable(
+    driver: GatewayDriver, unreachable: set[str], requests: int, interval_ms: float
+) -> int:
     """Send requests at a steady rate while some endpoints cannot be reached; return the connects to them."""
     connects = 0
     for _ in range(requests):
-        request_id, actions = driver.ask(after=every)
-        while sends := [a for a in actions if isinstance(a, StartAttempt)]:
-            if sends[-1].endpoint in names:
+        request_id, actions = driver.send_request(after_ms=interval_ms)
+        while starts := [a for a in actions if isinstance(a, StartAttempt)]:
+            if starts[-1].endpoint in unreachable:
                 connects += 1
-                actions = driver.end(request_id, AttemptResult.CONNECT_FAILED, duration_ms=250, after=250)
+                actions = driver.end_attempt(
+                    request_id, AttemptResult.CONNECT_FAILED, duration_ms=250, after_ms=250
+                )
             else:
-                actions = driver.end(request_id, duration_ms=50)
-        driver.sweep(1, every=1)
+                actions = driver.end_attempt(request_id, duration_ms=50)
+        driver.sweep(1, interval_ms=1)
     return connects
 
 
 @pytest.mark.parametrize(
-    ("result", "times", "rests"),
+    ("result", "times", "is_ejected"),
     [
         (AttemptResult.CONNECTION_RESET, 2, False),
         (AttemptResult.CONNECTION_RESET, 3, True),
@@ -44,15 +48,18 @@
         (AttemptResult.LOCAL_LIMIT, 9, False),
     ],
 )
-def test_which_results_eject_an_endpoint(result: AttemptResult, times: int, rests: bool) -> None:
+def test_which_results_eject_an_endpoint(result: AttemptResult, times: int, is_ejected: bool) -> None:
     """A closed connection, a malformed response or a local limit does not eject an endpoint."""
     driver = GatewayDriver(endpoints=1, max_attempts=1)
     for _ in range(times):
-        request_id, out = driver.ask()
-        assert actions_of_type(out, StartAttempt)
-        driver.end(request_id, result)
+        request_id, actions = driver.send_request()
+        assert actions_of_type(actions, StartAttempt)
+        driver.end_attempt(request_id, result)
     state = driver.gateway.endpoints["h0"]
-    assert (state.connect_failed, state.ejection_count > 0) == (result == AttemptResult.CONNECT_FAILED, rests)
+    assert (state.has_connect_failure, state.ejection_count > 0) == (
+        result == AttemptResult.CONNECT_FAILED,
+        is_ejected,
+    )
     assert state.in_flight == 0 and driver.gateway.admission.occupancy.smoothed == 0
 
 
@@ -60,20 +67,26 @@
     driver = GatewayDriver(endpoints=4)
     driver.sweep()
     state = driver.gateway.endpoints["h0"]
-    driver.gateway.outliers.eject(state, driver.now)
-    seen = {actions_of_type(driver.ask(after=1)[1], StartAttempt)[0].endpoint for _ in range(20)}
-    assert "h0" not in seen
+    driver.gateway.outlier_detector.eject(state, driver.now_ms)
+    chosen = {
+        actions_of_type(driver.send_request(after_ms=1)[1], StartAttempt)[0].endpoint for _ in range(20)
+    }
+    assert "h0" not in chosen
     assert (
-        actions_of_type(driver.ask(after=outlier_detection.EJECTION_BACKOFF_MS)[1], StartAttempt)[0].endpoint
+        actions_of_type(driver.send_request(after_ms=outlier_detection.EJECTION_BACKOFF_MS)[1], StartAttempt)[
+            0
+        ].endpoint
         == "h0"
     )
 
 
-def test_probes_of_a_lost_zone_are_a_small_part_of_the_attempts() -> None:
+def test_probes_of_a_lost_zone_are_a_small_fraction_of_the_attempts() -> None:
     driver = GatewayDriver(endpoints=60)
-    names = {f"h{i}" for i in range(24)}
-    connects_to_unreachable(driver, names, 400, 80)  # until they are ejected
-    assert connects_to_unreachable(driver, names, 200, 80) <= PROBES_PER_REQUEST * 200 + MAX_SAVED_PROBES
+    unreachable = {f"h{i}" for i in range(24)}
+    connects_to_unreachable(driver, unreachable, 400, 80)  # until they are ejected
+    assert (
+        connects_to_unreachable(driver, unreachable, 200, 80) <= PROBES_PER_REQUEST * 200 + MAX_SAVED_PROBES
+    )
 
 
 def test_a_single_ejected_endpoint_is_probed_soon() -> None:
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -4,11 +4,11 @@
 
 import pytest
 from support.gateway_driver import (
-    PLAN,
+    BASIC_PLAN,
     GatewayDriver,
     actions_of_type,
-    ask_with_totals,
-    drive,
+    send_request_with_counter_values,
+    send_requests,
 )
 
 from api_gateway.decisions import (
@@ -26,40 +26,42 @@
 
 def remaining_after_first_total(total: float) -> float:
     """What a gateway takes to be left (of 6, 2 a second) at the first total, 5 s into a window of 6."""
-    driver = GatewayDriver(endpoints=60, fleet_size=40, now=1e6)
+    driver = GatewayDriver(endpoints=60, fleet_size=40, now_ms=1e6)
     driver.sweep(80)
-    tenant = driver.gateway.requests._find_tenant(
-        RequestReceived("probe", "read", "basic", "c", 4000, 1, 20, 0), PLAN, driver.now
+    tenant = driver.gateway.request_flow._find_tenant(
+        RequestReceived("probe", "read", "basic", "c", 4000, 1, 20, 0), BASIC_PLAN, driver.now_ms
     )
     end = (tenant.quota.window + 1 - tenant._window_phase) * window_length_ms(tenant.plan)
     driver.gateway.tenants.clear()
-    driver.now = end - 1000
-    ask_with_totals(driver, 1, total)
+    driver.now_ms = end - 1000
+    send_request_with_counter_values(driver, 1, total)
     return next(iter(driver.gateway.tenants.values())).quota.remaining
 
 
 def test_quota_of_a_single_gateway_is_the_burst_and_then_the_rate() -> None:
     driver = GatewayDriver()
-    assert drive(driver, 20, plan="basic") == 6
-    driver.now += 2000  # two seconds refill four units
-    assert drive(driver, 20, plan="basic") == 4
+    assert send_requests(driver, 20, plan="basic") == 6
+    driver.now_ms += 2000  # two seconds refill four units
+    assert send_requests(driver, 20, plan="basic") == 4
 
 
 def test_quota_counts_what_other_gateways_used() -> None:
     driver = GatewayDriver()
-    assert 3 <= drive(driver, 12, peer_usage=1.0, plan="basic") <= 4  # the others use about every second unit
+    assert (
+        3 <= send_requests(driver, 12, peer_usage=1.0, plan="basic") <= 4
+    )  # the others use about every second unit
 
 
 def test_without_a_counter_a_gateway_keeps_to_an_even_split() -> None:
     driver = GatewayDriver()
-    driver.now += 10000
+    driver.now_ms += 10000
     sent = 0
     for _ in range(12):
-        _, out = driver.ask(plan="basic")
+        _, out = driver.send_request(plan="basic")
         for action in actions_of_type(out, IncrementCounter):
-            out = out + driver.give(CounterReply(action.name, CounterResult.TIMED_OUT, 0.0))
+            out = out + driver.deliver(CounterReply(action.name, CounterResult.TIMED_OUT, 0.0))
         sent += len(actions_of_type(out, StartAttempt))
-    assert sent <= PLAN.quota_burst / 3 + 1
+    assert sent <= BASIC_PLAN.quota_burst / 3 + 1
 
 
 @pytest.mark.parametrize("age_s", [2, 30])
@@ -68,18 +70,20 @@
     sent = 0
     for i in range(300):
         driver = GatewayDriver(seed=i, gateway_index=i, fleet_size=300, counter_enabled=False)
-        driver.give(TimerFired("sweep"))
-        driver.now += age_s * 1000
+        driver.deliver(TimerFired("sweep"))
+        driver.now_ms += age_s * 1000
         for _ in range(3):
-            _rid, out = driver.ask(plan="basic", gateway_count=300)
+            _rid, out = driver.send_request(plan="basic", gateway_count=300)
             sent += len(actions_of_type(out, StartAttempt))
     extra = sent - 300  # the first one of each gateway is admitted: most tenants are far from their quota
-    assert extra <= 2 * quota.ESTIMATE_HEADROOM * min(PLAN.quota_burst, PLAN.quota_rate * age_s) + 3
+    assert (
+        extra <= 2 * quota.ESTIMATE_HEADROOM * min(BASIC_PLAN.quota_burst, BASIC_PLAN.quota_rate * age_s) + 3
+    )
 
 
 def test_a_counter_that_restarts_empty_does_not_refill_the_quota() -> None:
     driver = GatewayDriver()
-    assert drive(driver, 20, lose_at=3, plan="basic") == 6
+    assert send_requests(driver, 20, reset_counter_at=3, plan="basic") == 6
     assert (
         driver.gateway.tenants["c", "basic"].quota.peer_usage_rate >= 0
     )  # a total that falls is no usage given back by other gateways
@@ -87,33 +91,35 @@
 
 def test_usage_beyond_the_quota_is_not_owed_for_ever() -> None:
     driver = GatewayDriver()
-    drive(
+    send_requests(
         driver, 8, peer_usage=5.0, plan="basic"
     )  # other gateways went far beyond the quota, at no cost to it
-    driver.now += 1000
-    drive(driver, 1, plan="basic")
-    driver.now += 1000
-    assert drive(driver, 4, plan="basic") >= 1
+    driver.now_ms += 1000
+    send_requests(driver, 1, plan="basic")
+    driver.now_ms += 1000
+    assert send_requests(driver, 4, plan="basic") >= 1
 
 
 def test_actual_units_are_charged() -> None:
     driver = GatewayDriver()
-    drive(driver, 1, plan="basic", gateway_count=1)
-    driver.end("r1", actual_units=6)
-    assert drive(driver, 3, plan="basic", gateway_count=1) == 0
+    send_requests(driver, 1, plan="basic", gateway_count=1)
+    driver.end_attempt("r1", actual_units=6)
+    assert send_requests(driver, 3, plan="basic", gateway_count=1) == 0
 
 
 def test_one_request_of_another_gateway_in_the_first_total_is_no_high_rate() -> None:
-    driver = GatewayDriver(endpoints=60, fleet_size=40, now=1e6)
+    driver = GatewayDriver(endpoints=60, fleet_size=40, now_ms=1e6)
     driver.sweep(80)
-    assert any(isinstance(a, StartAttempt) for a in ask_with_totals(driver, 1, 3))
+    assert any(isinstance(a, StartAttempt) for a in send_request_with_counter_values(driver, 1, 3))
     tenant = next(iter(driver.gateway.tenants.values()))
     assert tenant.quota.peer_usage_rate * 1000 <= 2.0, (
         "two units of the others in a window that is not that new"
     )
     length = window_length_ms(tenant.plan)
     start = (tenant.quota.window + 1 - tenant._window_phase) * length  # of the next window
-    actions = ask_with_totals(driver, 1, 1, after=start + 50 - driver.now, before=3)
+    actions = send_request_with_counter_values(
+        driver, 1, 1, after_ms=start + 50 - driver.now_ms, previous_counter_value=3
+    )
     assert any(isinstance(a, StartAttempt) for a in actions), "3 of 6 units used: its bucket is not empty"
 
 
--- a/tests/test_request_parsing.py
+++ b/tests/test_request_parsing.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from support.gateway_driver import KEYED, PLAN, SAFE, UNSAFE, settings
+from support.gateway_driver import BASIC_PLAN, PAY_CLASS, PUT_CLASS, READ_CLASS, settings
 
 from api_gateway.network.dispatcher import InboundRequest
 from api_gateway.network.downstream.request_parsing import (
@@ -38,7 +38,9 @@
 
 
 def validate(request: ParsedRequest) -> InboundRequest:
-    test_settings = settings(classes=(SAFE, KEYED, UNSAFE), plans=(PLAN,), max_request_units=4)
+    test_settings = settings(
+        classes=(READ_CLASS, PUT_CLASS, PAY_CLASS), plans=(BASIC_PLAN,), max_request_units=4
+    )
     return RequestValidator(test_settings).validate(request)
 
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 import pytest
-from support.gateway_driver import SAFE, settings
+from support.gateway_driver import READ_CLASS, settings
 
 from api_gateway.shutdown import GracefulShutdown
 
@@ -34,7 +34,7 @@
     """A dispatcher that records when its pending requests are failed."""
 
     def __init__(self, loop: FakeLoop, deadline_ms: float) -> None:
-        self.settings = settings(classes=(dataclasses.replace(SAFE, deadline_ms=deadline_ms),))
+        self.settings = settings(classes=(dataclasses.replace(READ_CLASS, deadline_ms=deadline_ms),))
         self.draining = False
         self.failed_at: list[float] = []
         self._loop = loop
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -4,10 +4,10 @@
 
 import pytest
 from support.gateway_driver import (
-    PLAN,
+    BASIC_PLAN,
     GatewayDriver,
     actions_of_type,
-    drive,
+    send_requests,
 )
 
 from api_gateway.decisions import (
@@ -24,13 +24,17 @@
 def test_tenants_of_one_request_are_forgotten() -> None:
     driver = GatewayDriver()
     for i in range(300):
-        request_id, out = driver.ask(plan="basic", tenant=f"k{i}")
+        request_id, out = driver.send_request(plan="basic", tenant=f"k{i}")
         for action in actions_of_type(out, IncrementCounter):
-            driver.give(CounterReply(action.name, CounterResult.TIMED_OUT, 0.0))
-        if request_id in driver.gateway.pending:
-            driver.end(request_id)
+            driver.deliver(CounterReply(action.name, CounterResult.TIMED_OUT, 0.0))
+        if request_id in driver.gateway.pending_requests:
+            driver.end_attempt(request_id)
     driver.sweep(400)
-    assert not driver.gateway.tenants and not driver.gateway.reporter._tenants and not driver.gateway.pending
+    assert (
+        not driver.gateway.tenants
+        and not driver.gateway.usage_reporter._tenants
+        and not driver.gateway.pending_requests
+    )
 
 
 def test_known_tenants_are_bounded_and_those_in_use_are_kept(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -38,23 +42,23 @@
     monkeypatch.setattr(tenants, "MAX_TENANTS", 50)
     driver = GatewayDriver(counter_enabled=False)
     for i in range(300):
-        request_id, out = driver.ask(plan="basic", tenant=f"k{i}")
+        request_id, out = driver.send_request(plan="basic", tenant=f"k{i}")
         assert actions_of_type(out, StartAttempt)
-        driver.end(request_id)
+        driver.end_attempt(request_id)
         assert len(driver.gateway.tenants) <= 50
     for i in range(60):  # a ceiling share is not forgotten before it would be full again
-        driver.ask(plan="capped", tenant=f"c{i}", after=1)
+        driver.send_request(plan="capped", tenant=f"c{i}", after_ms=1)
     assert [tenant for tenant, _ in driver.gateway.tenants] == [f"c{i}" for i in range(50)]
 
 
 def test_another_plan_or_gateway_count_leaves_a_quota_as_it_is() -> None:
     driver = GatewayDriver()
-    assert drive(driver, 10, plan="basic", gateway_count=1) == 6  # its burst
-    driver.ask(plan="capped", gateway_count=3)
-    assert drive(driver, 5, plan="basic", gateway_count=1) == 0
+    assert send_requests(driver, 10, plan="basic", gateway_count=1) == 6  # its burst
+    driver.send_request(plan="capped", gateway_count=3)
+    assert send_requests(driver, 5, plan="basic", gateway_count=1) == 0
     tenant = driver.gateway.tenants["c", "basic"]
-    driver.ask(plan="basic", gateway_count=3)
+    driver.send_request(plan="basic", gateway_count=3)
     assert tenant.quota.gateway_count == 3  # the safe side of two opinions, for this window and the next
     for _ in range(2):
-        driver.ask(plan="basic", gateway_count=1, after=window_length_ms(PLAN))
+        driver.send_request(plan="basic", gateway_count=1, after_ms=window_length_ms(BASIC_PLAN))
     assert tenant.quota.gateway_count == 1
