--- a/api_gateway/simulator/codec.py
+++ b/api_gateway/simulator/codec.py
@@ -157,7 +157,7 @@
     return CounterReply(
         name=name,
         result=decode_enum(COUNTER_RESULTS, result),
-        total=decode_number(counter_value),
+        counter_value=decode_number(counter_value),
         duration_ms=decode_number(duration),
     )
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -27,16 +27,18 @@
     driver: GatewayDriver, durations_ms: list[float], in_flight: int, rounds: int = 120
 ) -> float:
     """Return the fraction after `in_flight` requests at a time, each answered after `durations_ms` of 1 s."""
-    in_flight_ids = [driver.ask()[0] for _ in range(in_flight)]
+    in_flight_ids = [driver.send_request()[0] for _ in range(in_flight)]
     for n in range(rounds):
         driver.sweep(1)
-        driver.end(in_flight_ids.pop(0), duration_ms=durations_ms[n % len(durations_ms)])
-        in_flight_ids.append(driver.ask()[0])
-        if not any(isinstance(a, StartAttempt) and a.request_id == in_flight_ids[-1] for _, a in driver.log):
+        driver.end_attempt(in_flight_ids.pop(0), duration_ms=durations_ms[n % len(durations_ms)])
+        in_flight_ids.append(driver.send_request()[0])
+        if not any(
+            isinstance(a, StartAttempt) and a.request_id == in_flight_ids[-1] for _, a in driver.action_log
+        ):
             in_flight_ids.pop()
             request_id = next(
                 r
-                for r, actions in iter(lambda: driver.ask(), None)
+                for r, actions in iter(lambda: driver.send_request(), None)
                 if any(isinstance(a, StartAttempt) for a in actions)
             )
             in_flight_ids.append(request_id)
@@ -61,18 +63,18 @@
 
 def test_accumulator_admits_two_of_five_at_a_fraction_of_0_4() -> None:
     driver = GatewayDriver()
-    driver.ask()
+    driver.send_request()
     share = driver.gateway.admission.shares[("read", "open")]
     share.admitted_fraction, share.accumulator = 0.4, 0.0
-    sent = [bool(actions_of_type(driver.ask()[1], StartAttempt)) for _ in range(10)]
+    sent = [bool(actions_of_type(driver.send_request()[1], StartAttempt)) for _ in range(10)]
     assert sent == [False, False, True, False, True] * 2
 
 
 def test_overload_sheds_the_least_weight_per_work_first() -> None:
     driver = GatewayDriver()
     for _ in range(5):
-        driver.ask("read")
-        driver.ask("put")
+        driver.send_request("read")
+        driver.send_request("put")
     driver.gateway.admission.occupancy.smoothed = (
         occupancy.MIN_SHED_OCCUPANCY + admission.MAX_SHED_OCCUPANCY
     ) / 2
@@ -106,9 +108,9 @@
     driver = GatewayDriver(endpoints=3)
     fractions = []
     for n in range(80):
-        request_id = driver.ask(after=100)[0]
-        driver.end(request_id, duration_ms=900 if n % 20 == 19 else 60)
-        driver.sweep(1, every=1)
+        request_id = driver.send_request(after_ms=100)[0]
+        driver.end_attempt(request_id, duration_ms=900 if n % 20 == 19 else 60)
+        driver.sweep(1, interval_ms=1)
         if n > 30:
             fractions.append(driver.gateway.admission.admitted_fraction)
     assert min(fractions) > 0.9
--- a/tests/test_counter_health.py
+++ b/tests/test_counter_health.py
@@ -24,12 +24,12 @@
     def count_calls(result: CounterResult, request_count: int = 60) -> int:
         call_count = 0
         for _ in range(request_count):
-            request_id, actions = driver.ask(plan="basic", tenant=f"k{driver.serial}", after=20)
+            request_id, actions = driver.send_request(plan="basic", tenant=f"k{driver.serial}", after_ms=20)
             for action in actions_of_type(actions, IncrementCounter):
                 call_count += 1
-                actions = actions + driver.give(CounterReply(action.name, result, action.amount))
-            if request_id in driver.gateway.pending:
-                driver.end(request_id)
+                actions = actions + driver.deliver(CounterReply(action.name, result, action.amount))
+            if request_id in driver.gateway.pending_requests:
+                driver.end_attempt(request_id)
         return call_count
 
     assert count_calls(CounterResult.OK) == 60
@@ -47,9 +47,9 @@
 
 def test_a_malformed_response_counts_as_a_response_and_its_amount_as_added() -> None:
     driver = GatewayDriver()
-    _, actions = driver.ask(plan="basic", tenant="k", units=2)
+    _, actions = driver.send_request(plan="basic", tenant="k", units=2)
     (call,) = actions_of_type(actions, IncrementCounter)
-    actions = driver.give(CounterReply(call.name, CounterResult.MALFORMED_RESPONSE, 0.0))
+    actions = driver.deliver(CounterReply(call.name, CounterResult.MALFORMED_RESPONSE, 0.0))
     assert actions_of_type(actions, StartAttempt)  # decided at once
     tenant = driver.gateway.tenants["k", "basic"]
     assert driver.gateway.counter_health.response_fraction == 1.0
--- a/tests/test_load_sampling.py
+++ b/tests/test_load_sampling.py
@@ -24,12 +24,12 @@
     driver.gateway.admission.occupancy.classes["read"].learned_baseline = 0.1
     weight = min(occupancy.MAX_INTERVAL_WEIGHT, 2 / occupancy.SMOOTHING_SAMPLES)
     for _ in range(2):
-        request_id, _ = driver.ask()
-        driver.end(request_id, duration_ms=500)
+        request_id, _ = driver.send_request()
+        driver.end_attempt(request_id, duration_ms=500)
     assert driver.gateway.admission.occupancy.pending_samples == 2
     driver.sweep()
     assert driver.gateway.admission.occupancy.smoothed == pytest.approx(weight * 0.5)
-    request_id, _ = driver.ask()
+    request_id, _ = driver.send_request()
     driver.sweep()
     assert driver.gateway.admission.occupancy.smoothed == pytest.approx(
         weight * 0.5
@@ -41,9 +41,9 @@
     driver.gateway.admission.occupancy.smoothed = 1.0
     served = 0
     for _ in range(20):  # two requests a second, answered fast
-        request_id, actions = driver.ask(after=0)
+        request_id, actions = driver.send_request(after_ms=0)
         if actions_of_type(actions, StartAttempt):
-            driver.end(request_id, duration_ms=50, after=50)
+            driver.end_attempt(request_id, duration_ms=50, after_ms=50)
             served += 1
         driver.sweep(5)
     assert served >= 14
@@ -51,25 +51,25 @@
 
 def test_a_fresh_gateway_sees_an_overload_in_its_attempts_in_flight() -> None:
     driver = GatewayDriver()
-    request_ids = [driver.ask(after=20)[0] for _ in range(8)]
+    request_ids = [driver.send_request(after_ms=20)[0] for _ in range(8)]
     driver.sweep(6)
     assert (
         driver.gateway.admission.admitted_fraction < 0.1
     )  # nothing is answered, and much has taken long already
     for request_id in request_ids:
-        driver.end(request_id, duration_ms=60)
+        driver.end_attempt(request_id, duration_ms=60)
     driver.sweep()
     assert driver.gateway.admission.admitted_fraction == 1.0
 
 
 def test_attempts_during_a_stall_of_the_gateway_are_no_samples() -> None:
     driver = GatewayDriver()
-    request_id, _ = driver.ask()
-    driver.end(request_id, duration_ms=5000, after=5000)
+    request_id, _ = driver.send_request()
+    driver.end_attempt(request_id, duration_ms=5000, after_ms=5000)
     assert driver.gateway.admission.occupancy.pending_samples == 0
     driver.sweep()
-    request_id, _ = driver.ask()
-    driver.end(request_id, duration_ms=40, after=40)
+    request_id, _ = driver.send_request()
+    driver.end_attempt(request_id, duration_ms=40, after_ms=40)
     assert driver.gateway.admission.occupancy.pending_samples == 1
 
 
@@ -78,13 +78,13 @@
     driver.gateway.endpoints["h0"].latency_ratio = 10.0
     slow_request_id = None
     for _ in range(200):
-        request_id, actions = driver.ask(after=5)
+        request_id, actions = driver.send_request(after_ms=5)
         attempt = actions_of_type(actions, StartAttempt)[0]
         if attempt.endpoint == "h0":
             slow_request_id = request_id
-            driver.end(request_id, AttemptResult.TIMED_OUT, duration_ms=1000)
+            driver.end_attempt(request_id, AttemptResult.TIMED_OUT, duration_ms=1000)
         else:
-            driver.end(request_id, duration_ms=50)
+            driver.end_attempt(request_id, duration_ms=50)
     driver.sweep(5)
     assert driver.gateway.admission.admitted_fraction == 1.0
     assert slow_request_id is None or driver.gateway.endpoints["h0"].latency_ratio > 1
@@ -93,13 +93,13 @@
 def test_an_outlier_gives_no_samples_but_a_slow_fleet_does() -> None:
     for median_ratio, expected_samples in ((1.0, 0), (10.0, 1)):
         driver = GatewayDriver(endpoints=1)
-        request_id, _ = driver.ask()
-        driver.gateway.endpoints["h0"].latency_ratio, driver.gateway.outliers.median_latency_ratio = (
+        request_id, _ = driver.send_request()
+        driver.gateway.endpoints["h0"].latency_ratio, driver.gateway.outlier_detector.median_latency_ratio = (
             10.0,
             median_ratio,
         )
         driver.gateway.admission.occupancy.recent_response_occupancy = 0.5
-        driver.end(request_id, AttemptResult.TIMED_OUT, duration_ms=90)
+        driver.end_attempt(request_id, AttemptResult.TIMED_OUT, duration_ms=90)
         assert driver.gateway.admission.occupancy.pending_samples == expected_samples
 
 
@@ -107,10 +107,10 @@
     for duration_ms, is_overloaded in ((50, False), (950, True)):
         driver = GatewayDriver(endpoints=8)
         for i in range(60):
-            request_id, _ = driver.ask(after=20)
-            if i % 4 == 0 and request_id in driver.gateway.pending:
-                driver.end(request_id, AttemptResult.TIMED_OUT, duration_ms=duration_ms)
-            if request_id in driver.gateway.pending:
-                driver.end(request_id, duration_ms=duration_ms)
-            driver.give(TimerFired("sweep"))
+            request_id, _ = driver.send_request(after_ms=20)
+            if i % 4 == 0 and request_id in driver.gateway.pending_requests:
+                driver.end_attempt(request_id, AttemptResult.TIMED_OUT, duration_ms=duration_ms)
+            if request_id in driver.gateway.pending_requests:
+                driver.end_attempt(request_id, duration_ms=duration_ms)
+            driver.deliver(TimerFired("sweep"))
         assert (driver.gateway.admission.admitted_fraction < 1) == is_overloaded
--- a/tests/test_usage_reporting.py
+++ b/tests/test_usage_reporting.py
@@ -6,13 +6,13 @@
 
 import pytest
 from support.gateway_driver import (
-    CAPPED,
-    PLAN,
+    BASIC_PLAN,
+    CAPPED_PLAN,
     GatewayDriver,
     actions_of_type,
-    ask_with_totals,
-    calls_of,
-    drive,
+    counter_calls,
+    send_request_with_counter_values,
+    send_requests,
 )
 
 from api_gateway.decisions.quota import window_length_ms
@@ -26,29 +26,29 @@
 
 def test_near_the_limit_a_request_waits_for_the_counter_value_and_gets_a_response() -> None:
     driver = GatewayDriver()
-    drive(driver, 5, plan="basic")
+    send_requests(driver, 5, plan="basic")
     driver.gateway.tenants[
         "c", "basic"
     ].quota.remaining = 0.0  # the estimate says no; the last total left one unit
-    request_id, actions = driver.ask(plan="basic")
+    request_id, actions = driver.send_request(plan="basic")
     assert (
         not actions_of_type(actions, StartAttempt)
         and not actions_of_type(actions, RejectRequest)
         and actions_of_type(actions, IncrementCounter)
     )
-    actions = driver.give(CounterReply(calls_of(driver)[-1].name, CounterResult.TIMED_OUT, 0.0), 30)
+    actions = driver.deliver(CounterReply(counter_calls(driver)[-1].name, CounterResult.TIMED_OUT, 0.0), 30)
     assert len(actions_of_type(actions, StartAttempt)) + len(actions_of_type(actions, RejectRequest)) == 1
-    assert not driver.gateway.reporter.is_waiting(request_id)
+    assert not driver.gateway.usage_reporter.is_waiting(request_id)
 
 
 def test_units_of_a_rejected_request_are_taken_back_while_the_counter_responds() -> None:
     for response_fraction, amounts in ((1.0, [1, -1]), (0.0, [1])):
         driver = GatewayDriver()
-        driver.ask(plan="basic")
+        driver.send_request(plan="basic")
         driver.gateway.counter_health.response_fraction = response_fraction
         driver.gateway.rng.random = lambda: 0.5
-        driver.give(CounterReply(calls_of(driver)[0].name, CounterResult.OK, 100.0))
-        assert [c.amount for c in calls_of(driver)] == amounts
+        driver.deliver(CounterReply(counter_calls(driver)[0].name, CounterResult.OK, 100.0))
+        assert [c.amount for c in counter_calls(driver)] == amounts
 
 
 @pytest.mark.parametrize("remaining_time_ms", [5, 60, 200])
@@ -56,34 +56,36 @@
     remaining_time_ms: float,
 ) -> None:
     driver = GatewayDriver(counter_timeout_ms=30)
-    request_id, actions = driver.ask(plan="basic", time_left_ms=remaining_time_ms)
+    request_id, actions = driver.send_request(plan="basic", time_left_ms=remaining_time_ms)
     assert len(actions_of_type(actions, StartAttempt)) + len(actions_of_type(actions, RejectRequest)) == 1
-    assert not driver.gateway.reporter.is_waiting(request_id)
+    assert not driver.gateway.usage_reporter.is_waiting(request_id)
 
 
 def test_a_request_without_a_counter_reply_still_gets_a_response() -> None:
     driver = GatewayDriver()
-    drive(driver, 5, plan="basic")
+    send_requests(driver, 5, plan="basic")
     driver.gateway.tenants["c", "basic"].quota.remaining = 0.0
-    request_id, _ = driver.ask(plan="basic")
+    request_id, _ = driver.send_request(plan="basic")
     driver.sweep(3)
     outcomes = [
-        a for _, a in driver.log if isinstance(a, StartAttempt | RejectRequest) and a.request_id == request_id
+        a
+        for _, a in driver.action_log
+        if isinstance(a, StartAttempt | RejectRequest) and a.request_id == request_id
     ]
-    assert len(outcomes) == 1 and not driver.gateway.reporter._waiting_requests
+    assert len(outcomes) == 1 and not driver.gateway.usage_reporter._waiting_requests
 
 
 def test_plans_with_windows_of_equal_length_have_separate_counts() -> None:
-    same_window_plan = dataclasses.replace(PLAN, name="twin")
-    driver = GatewayDriver(plans=(PLAN, same_window_plan, CAPPED))
+    same_window_plan = dataclasses.replace(BASIC_PLAN, name="twin")
+    driver = GatewayDriver(plans=(BASIC_PLAN, same_window_plan, CAPPED_PLAN))
     names = [
-        actions_of_type(driver.ask(plan=plan, tenant="c")[1], IncrementCounter)[0].name
+        actions_of_type(driver.send_request(plan=plan, tenant="c")[1], IncrementCounter)[0].name
         for plan in ("basic", "twin", "capped")
     ]
     assert len(set(names)) == 3
-    untagged_name = actions_of_type(GatewayDriver().ask(plan="basic", tenant="c")[1], IncrementCounter)[
-        0
-    ].name
+    untagged_name = actions_of_type(
+        GatewayDriver().send_request(plan="basic", tenant="c")[1], IncrementCounter
+    )[0].name
     assert (
         names[0] != untagged_name == names[0].replace(".0.", ".")
     )  # where no other window is as long: no tag
@@ -93,13 +95,17 @@
 def test_the_first_report_of_a_window_carries_over_the_debt_of_the_last(
     previous_counter_value: float, is_sent: bool
 ) -> None:
-    driver = GatewayDriver(endpoints=60, fleet_size=40, now=1e6)
+    driver = GatewayDriver(endpoints=60, fleet_size=40, now_ms=1e6)
     driver.sweep(80)
-    ask_with_totals(driver, 1, 3)
+    send_request_with_counter_values(driver, 1, 3)
     tenant = next(iter(driver.gateway.tenants.values()))
     next_window_ms = (tenant.quota.window + 1 - tenant._window_phase) * window_length_ms(tenant.plan)
-    actions = ask_with_totals(
-        driver, 1, 1, after=next_window_ms + 50 - driver.now, before=previous_counter_value
+    actions = send_request_with_counter_values(
+        driver,
+        1,
+        1,
+        after_ms=next_window_ms + 50 - driver.now_ms,
+        previous_counter_value=previous_counter_value,
     )
     amounts = [a.amount for a in actions if isinstance(a, IncrementCounter)]
     assert amounts[:2] == [1, 0], "its own unit, then a look at the last window's count"
@@ -111,15 +117,15 @@
 
 
 def test_refill_of_a_full_bucket_expires_for_all_gateways() -> None:
-    driver = GatewayDriver(endpoints=60, fleet_size=40, now=1e6)
+    driver = GatewayDriver(endpoints=60, fleet_size=40, now_ms=1e6)
     driver.sweep(80)
-    tenant = driver.gateway.requests._find_tenant(
-        RequestReceived("probe", "read", "basic", "c", 4000, 1, 20, 0), PLAN, driver.now
+    tenant = driver.gateway.request_flow._find_tenant(
+        RequestReceived("probe", "read", "basic", "c", 4000, 1, 20, 0), BASIC_PLAN, driver.now_ms
     )
-    driver.now = (tenant.quota.window + 1 - tenant._window_phase) * window_length_ms(tenant.plan) + 4000
-    request_id, actions = driver.ask(plan="basic", units=1, gateway_count=20)
+    driver.now_ms = (tenant.quota.window + 1 - tenant._window_phase) * window_length_ms(tenant.plan) + 4000
+    request_id, actions = driver.send_request(plan="basic", units=1, gateway_count=20)
     first_call = next(a for a in actions if isinstance(a, IncrementCounter))
-    driver.give(CounterReply(first_call.name, CounterResult.OK, 1), 2)
-    actions = driver.end(request_id, actual_units=2)
+    driver.deliver(CounterReply(first_call.name, CounterResult.OK, 1), 2)
+    actions = driver.end_attempt(request_id, actual_units=2)
     correction = next(a for a in actions if isinstance(a, IncrementCounter))
     assert correction.amount == pytest.approx(1 + 2 * 4.0, abs=0.1), "one unit more, and 4 s of refill"
