--- a/api_gateway/decisions/admission.py
+++ b/api_gateway/decisions/admission.py
@@ -1,7 +1,10 @@
-"""Admission control by SiRED: the fraction of requests admitted, and an accumulator for each class and plan.
+"""Admission control: which fraction of the requests of each class and plan is admitted.
 
-f = max(fmin, min((Qmax - q) / (Qmax - Qmin), 1)) over the smoothed occupancy q. Where f is less than 1,
-requests with the least weight for their work are shed first.
+The admitted fraction follows from the smoothed occupancy q as in SiRED:
+
+    f = max(fmin, min((Qmax - q) / (Qmax - Qmin), 1))
+
+While f is less than 1, requests with the least priority weight per work are shed first.
 
 Source: SiRED in "Single and Simplified Multi Class Overload Controls for a SIP Server" (Lloyd).
 """
@@ -11,34 +14,40 @@
 from api_gateway.decisions.occupancy import MIN_SHED_OCCUPANCY, Occupancy
 from api_gateway.model.settings import Plan, RequestClass
 
-MAX_SHED_OCCUPANCY = 0.45  # Qmax of SiRED: occupancy at which the fraction reaches its minimum
-MIN_ADMITTED_FRACTION = 0.05  # fmin of SiRED
-MAX_RAMP_OFFSET = 0.25  # the ramp lies so much higher where this gateway sees nothing of an endpoint's load
-HALF_RAMP_OFFSET_IN_FLIGHT = (
-    0.1  # own requests in flight on an endpoint, in the mean, that show half of its load
-)
-GUARANTEED_FRACTION = 0.25  # part of the fraction that each class and plan keeps, however little it weighs
-OVERDUE_OBJECTIVE_FRACTION = 0.45  # part of its objective after which a request in flight counts as overload
-MIN_OCCUPANCY_SAMPLES = 5.0  # below which attempts that are overdue count as samples, too
+MAX_SHED_OCCUPANCY = 0.45  # Qmax of SiRED: the occupancy at which the admitted fraction is at its minimum.
+MIN_ADMITTED_FRACTION = 0.05  # fmin of SiRED.
+
+# Occupancy by which the ramp is moved up for a gateway that sees nothing of the load of the endpoints.
+MAX_RAMP_OFFSET = 0.25
+
+# Half of the ramp offset remains with this mean number of own attempts in flight on each endpoint.
+HALF_RAMP_OFFSET_IN_FLIGHT = 0.1
+
+GUARANTEED_FRACTION = 0.25  # Each class and plan keeps this fraction of the admitted fraction.
+OVERDUE_OBJECTIVE_FRACTION = 0.45  # An attempt in flight is overdue after this fraction of its objective.
+MIN_OCCUPANCY_SAMPLES = 5.0  # With fewer samples of occupancy, overdue attempts count as samples too.
 MIN_LATENCY_MS = 1e-6
 
 
 def admitted_fraction(occupancy: float, offset: float = 0.0) -> float:
-    """Return the SiRED fraction for a smoothed occupancy.
+    """Return the fraction of requests to admit, from `MIN_ADMITTED_FRACTION` to 1.
 
     Args:
         occupancy: Smoothed occupancy, 0 to 1.
-        offset: How far the whole ramp is moved up.
+        offset: Occupancy by which the whole ramp is moved up.
     """
     ramp = (MAX_SHED_OCCUPANCY + offset - occupancy) / (MAX_SHED_OCCUPANCY - MIN_SHED_OCCUPANCY)
     return max(MIN_ADMITTED_FRACTION, min(ramp, 1.0))
 
 
 def ramp_offset(in_flight_per_endpoint: float) -> float:
-    """Return how far the ramp is moved up with so many own requests in flight on each endpoint.
+    """Return the occupancy by which the ramp is moved up.
+
+    Gateways do not see each other's attempts when they select endpoints, so that queues form at random.
+    Shedding load does not shorten these.
 
-    Gateways that choose endpoints without seeing each other's requests cause queues by chance, which shedding
-    does not shorten.
+    Args:
+        in_flight_per_endpoint: Mean number of this gateway's attempts in flight on an endpoint.
     """
     return (
         MAX_RAMP_OFFSET * HALF_RAMP_OFFSET_IN_FLIGHT / (HALF_RAMP_OFFSET_IN_FLIGHT + in_flight_per_endpoint)
@@ -46,7 +55,14 @@
 
 
 class ClassPlanShare:
-    """Requests of one class and plan: their weight for their work, their work, and the fraction admitted."""
+    """The requests of one class and plan, and the fraction of them that is admitted.
+
+    Attributes:
+        weight_per_work: Priority weight of the last request for one millisecond of typical latency.
+        work: Recent work, in milliseconds of typical latency.
+        accumulator: Sum of the admitted fractions, less 1 for each request admitted.
+        admitted_fraction: Fraction of the requests to admit, 0 to 1.
+    """
 
     def __init__(self) -> None:
         self.weight_per_work = 0.0
@@ -55,7 +71,15 @@
         self.admitted_fraction = 1.0
 
     def admit(self, weight_per_work: float, work: float) -> bool:
-        """Add the fraction to the accumulator; at 1 or more, subtract 1 and admit the request."""
+        """Add the admitted fraction to the accumulator; if it reaches 1, subtract 1 and admit the request.
+
+        Args:
+            weight_per_work: Priority weight for one millisecond of typical latency.
+            work: Typical latency of the request, in milliseconds.
+
+        Returns:
+            Whether the request is admitted.
+        """
         self.weight_per_work = weight_per_work
         self.work += work
         self.accumulator += self.admitted_fraction
@@ -66,10 +90,15 @@
 
 
 class AdmissionController:
-    """Decides what part of the new requests is admitted.
+    """Decides which new requests are admitted.
 
     Args:
         classes: The request classes.
+
+    Attributes:
+        occupancy: The occupancy of the back end.
+        admitted_fraction: Fraction of all work to admit, 0 to 1.
+        shares: The requests of each class and plan, by the names of both.
     """
 
     def __init__(self, classes: tuple[RequestClass, ...]) -> None:
@@ -79,23 +108,23 @@
         self._in_flight_per_endpoint = 0.0
 
     def admit(self, request_class: RequestClass, plan: Plan, latency_ms: float, units: float) -> bool:
-        """Decide on one more request of a class and plan.
+        """Return whether a new request is admitted.
 
         Args:
-            request_class: Its class.
-            plan: Its plan.
-            latency_ms: Typical latency of the class for one unit.
-            units: Its size.
+            request_class: Class of the request.
+            plan: Plan of its tenant.
+            latency_ms: Typical latency of the class for one unit, in milliseconds.
+            units: Size of the request.
         """
         share = self.shares.setdefault((request_class.name, plan.name), ClassPlanShare())
         weight = request_class.priority_weight * plan.priority_weight
         return share.admit(weight / max(latency_ms, MIN_LATENCY_MS), latency_ms * max(units, 0.0))
 
     def update(self, overdue_requests: int) -> None:
-        """Set the fraction for the occupancy as it is now.
+        """Update the admitted fractions to the current occupancy.
 
         Args:
-            overdue_requests: Requests in flight for too long, each of which counts as one sample of 1.
+            overdue_requests: Number of attempts in flight for too long; each counts as a sample of 1.
         """
         occupancy = (MIN_OCCUPANCY_SAMPLES * self.occupancy.smoothed + overdue_requests) / (
             MIN_OCCUPANCY_SAMPLES + overdue_requests
@@ -105,7 +134,10 @@
         self._distribute_fraction()
 
     def _distribute_fraction(self) -> None:
-        """Serve the highest weight for work first; the mean over all work stays the whole fraction."""
+        """Distribute the admitted fraction over classes and plans, the highest weight per work first.
+
+        The mean over all work is the admitted fraction, unless the minimum raises it.
+        """
         total_work = sum(share.work for share in self.shares.values())
         guaranteed = GUARANTEED_FRACTION * self.admitted_fraction
         unguaranteed_fraction = (self.admitted_fraction - guaranteed) / (1.0 - guaranteed)
@@ -123,11 +155,11 @@
             allotted_work_share += work_share
 
     def sweep(self, in_flight_per_endpoint: float, decay_factor: float) -> None:
-        """Let what is remembered fade.
+        """Update the running means.
 
         Args:
-            in_flight_per_endpoint: Own requests in flight on an endpoint now, in the mean.
-            decay_factor: Weight of what is remembered, 0 to 1.
+            in_flight_per_endpoint: Mean number of own attempts in flight on an endpoint now.
+            decay_factor: Weight of the previous values, 0 to 1.
         """
         previous_mean = self._in_flight_per_endpoint
         self._in_flight_per_endpoint = (
--- a/api_gateway/decisions/ceiling.py
+++ b/api_gateway/decisions/ceiling.py
@@ -1,4 +1,4 @@
-"""A tenant's hard ceiling: this gateway's share of its token bucket."""
+"""This gateway's share of a tenant's ceiling, which all gateways together never exceed."""
 
 from __future__ import annotations
 
@@ -8,14 +8,17 @@
 
 
 class CeilingShare:
-    """One gateway's share of a tenant's ceiling: 1 / gateway count of its rate and burst.
+    """One gateway's share of a tenant's ceiling: a token bucket with 1 / gateway count of its rate and burst.
 
-    It is empty at the gateway's start, since a gateway that ran before may have spent it. So the shares of
-    all gateways never sum to more than the ceiling.
+    The share is empty at the start of the gateway, because the process that it replaces may have used it. In
+    this way the shares of all gateways never add up to more than the ceiling.
 
     Args:
-        plan: The tenant's plan.
-        filled_from_ms: When the share begins to fill.
+        plan: Plan of the tenant, with a ceiling or without.
+        filled_from_ms: When the share begins to fill, in milliseconds.
+
+    Attributes:
+        tokens: Units in the share when it was last refilled.
     """
 
     def __init__(self, plan: Plan, filled_from_ms: float) -> None:
@@ -24,7 +27,13 @@
         self.tokens = 0.0
 
     def admits(self, units: float, gateway_count: int, now_ms: float) -> bool:
-        """Refill the share up to now, and return whether it holds so many units."""
+        """Refill the share, and return whether it holds enough units; without a ceiling it always does.
+
+        Args:
+            units: Size of the request.
+            gateway_count: Number of gateways that the tenant's requests may come through.
+            now_ms: The current time, in milliseconds.
+        """
         plan = self._plan
         if plan.ceiling_rate <= 0:
             return True
@@ -35,9 +44,9 @@
         return units <= self.tokens + ROUNDING_TOLERANCE
 
     def spend(self, units: float) -> None:
-        """Take so many units."""
+        """Take the units of a request from the share."""
         self.tokens -= units
 
     def is_full_after(self, idle_ms: float) -> bool:
-        """Whether the share is full again after so long without a request."""
+        """Whether the share is full after this time without a request, in milliseconds."""
         return idle_ms * self._plan.ceiling_rate >= 1000 * self._plan.ceiling_burst
--- a/api_gateway/decisions/latency.py
+++ b/api_gateway/decisions/latency.py
@@ -1,4 +1,4 @@
-"""Typical latencies of the request classes, and how long their clients wait."""
+"""Typical latencies of the request classes, and estimates of the timeouts of their clients."""
 
 from __future__ import annotations
 
@@ -8,17 +8,18 @@
 from api_gateway.model.events import RequestReceived
 from api_gateway.model.settings import RequestClass
 
-INITIAL_OBJECTIVE_DIVISOR = 10  # before any answer a class is taken to need this part of its objective
-MIN_RESPONSE_WEIGHT = 0.05  # least weight of one answer in the running mean
+INITIAL_OBJECTIVE_DIVISOR = 10  # The typical latency starts as the latency objective divided by this.
+MIN_RESPONSE_WEIGHT = 0.05  # Minimum weight of one response in the running mean.
 MIN_UNITS = 1e-6
-SAMPLED_REQUESTS = 64  # last requests of a class that show how long its clients usually wait
-RECOUNT_INTERVAL_REQUESTS = SAMPLED_REQUESTS // 8  # requests between two counts, since sorting costs time
-TYPICAL_PERCENTILE = 70  # of the remembered times left, in rising order
-SAME_TIME_TOLERANCE = 0.01  # part by which two times left may differ and count as the same
+
+SAMPLED_REQUESTS = 64  # The timeout of a class's clients is estimated from this many of its last requests.
+RECOUNT_INTERVAL_REQUESTS = SAMPLED_REQUESTS // 8  # Sorting for each request would cost too much time.
+TYPICAL_PERCENTILE = 70  # All remaining times are compared with this percentile of them.
+SAME_TIME_TOLERANCE = 0.01  # Remaining times that differ by at most this fraction count as equal.
 
 
 class TypicalLatency:
-    """Running mean of the latency for one unit of work, by request class.
+    """Running mean of the latency for one unit, by request class.
 
     Args:
         classes: The request classes.
@@ -33,15 +34,21 @@
         return self._per_unit_ms[class_name]
 
     def expected_ms(self, class_name: str, units: float) -> float:
-        """Return the typical latency of a request of so many units, in milliseconds."""
+        """Return the typical latency of a request of this class and size, in milliseconds."""
         return self._per_unit_ms[class_name] * max(units, MIN_UNITS)
 
     def slowest_ms(self) -> float:
-        """Return the typical latency for one unit of the slowest class, in milliseconds."""
+        """Return the typical latency of the slowest class for one unit, in milliseconds."""
         return max(self._per_unit_ms.values())
 
     def record(self, class_name: str, duration_ms: float, units: float) -> None:
-        """Take an answer into the mean of its class; the initial value weighs as one answer."""
+        """Update the mean of a class with a response; the initial value has the weight of one response.
+
+        Args:
+            class_name: Name of the request class.
+            duration_ms: Latency of the response, in milliseconds.
+            units: Size of the request.
+        """
         self._response_counts[class_name] += 1
         weight = max(MIN_RESPONSE_WEIGHT, 1 / (self._response_counts[class_name] + 1))
         per_unit_ms = duration_ms / max(units, MIN_UNITS)
@@ -49,10 +56,10 @@
 
 
 class ClientTimeoutEstimator:
-    """How long clients of one class wait, learned from the time left that their requests name.
+    """Estimates how long the clients of one class wait, from the remaining times of their requests.
 
-    First requests of a class share one time left. A client that retries has less: what is missing was spent
-    on its earlier requests, and its latency objective runs from the first of them.
+    First requests have the full timeout of the clients as their remaining time. A retry has less: the client
+    has spent the difference on its earlier requests.
     """
 
     def __init__(self) -> None:
@@ -61,14 +68,14 @@
         self._min_full_timeout_ms = 0.0
 
     def record_request(self, remaining_time_ms: float) -> float:
-        """Record the time left of one more request.
+        """Record a request.
 
         Args:
-            remaining_time_ms: Its time left.
+            remaining_time_ms: How long its client still waits, in milliseconds.
 
         Returns:
-            The least time left that no earlier request has cut; 0 while a third of the last requests do not
-            agree on one.
+            The minimum remaining time of a first request, in milliseconds; 0 unless at least a third of the
+            last requests have the same remaining time.
         """
         self._remaining_times_ms.append(remaining_time_ms)
         self._requests_since_recount += 1
@@ -90,7 +97,9 @@
 
 
 class EarlierRequestTime:
-    """Time that clients have spent on earlier requests for the same work.
+    """Time that clients have spent on earlier requests, of which the current one is a retry.
+
+    The latency objective of a retry runs from the first of these requests.
 
     Args:
         classes: The request classes.
@@ -100,7 +109,7 @@
         self._client_timeouts = {c.name: ClientTimeoutEstimator() for c in classes}
 
     def spent_ms(self, request: RequestReceived, request_class: RequestClass) -> float:
-        """Record a request; return the time spent before it, in milliseconds, 0 where that does not show."""
+        """Record a request, and return the time spent before it in milliseconds; 0 if that is unknown."""
         min_full_timeout_ms = self._client_timeouts[request_class.name].record_request(request.time_left_ms)
         if request.time_left_ms >= min_full_timeout_ms:
             return 0.0
--- a/api_gateway/decisions/load_sampling.py
+++ b/api_gateway/decisions/load_sampling.py
@@ -1,4 +1,4 @@
-"""What the ends of attempts tell of the load on the back end, and the admission that follows from it."""
+"""Samples the load of the back end from the results of attempts, and updates admission control with them."""
 
 from __future__ import annotations
 
@@ -22,8 +22,12 @@
 from api_gateway.model.results import AttemptResult
 from api_gateway.model.settings import Settings
 
-MAX_SAMPLES_PER_UPDATE = 125  # outcomes after which admission is updated before the next sweep (SiRED)
-DELAY_NOISE_STANDARD_DEVIATIONS = 2.0  # by which the attempts in flight may differ from their mean by chance
+# As in SiRED, admission is updated after this many samples if no sweep has updated it before.
+MAX_SAMPLES_PER_UPDATE = 125
+
+# A deviation of the attempts in flight from their mean is attributed to random variation up to this limit.
+DELAY_NOISE_STANDARD_DEVIATIONS = 2.0
+
 UNINFORMATIVE_RESULTS = CONNECTION_FAILURES | {
     AttemptResult.CANCELLED,
     AttemptResult.MALFORMED_RESPONSE,
@@ -33,18 +37,18 @@
 
 
 class LoadSampler:
-    """Turns the ends of attempts into samples of occupancy.
+    """Turns the results of attempts into samples of occupancy.
 
     Args:
-        settings: The gateway's settings.
-        admission: What the samples decide.
-        pending: The requests with attempts.
-        subset: The endpoints that the gateway works with.
-        outliers: Knows which endpoints are no measure of the load.
-        traffic: The gateway's rates.
-        uptime: How long the gateway has been up.
-        sweep_timer: Knows when this process was stalled.
-        log: Where overload is logged.
+        settings: Settings of the gateway.
+        admission: Admission control, which is updated from the samples.
+        pending: The pending requests.
+        subset: Subset of the endpoints that the gateway uses.
+        outliers: Detects outliers, whose latencies say nothing about the load of the back end.
+        traffic: Request rates of the gateway.
+        uptime: Time since the gateway started.
+        sweep_timer: Detects stalls of this process.
+        log: Log to which load shedding is written.
     """
 
     def __init__(
@@ -72,7 +76,14 @@
     def record_attempt_result(
         self, pending: PendingRequest, attempt: Attempt, event: AttemptEnded, now_ms: float
     ) -> None:
-        """Take in the end of an attempt."""
+        """Record the end of an attempt.
+
+        Args:
+            pending: The request of the attempt.
+            attempt: The attempt.
+            event: How it ended.
+            now_ms: The current time, in milliseconds.
+        """
         occupancy = self._admission.occupancy
         latency = self._record_sample(pending, attempt, event, now_ms)
         occupancy.classes[pending.class_name].end_attempt(attempt.latency_block, latency, now_ms)
@@ -82,15 +93,15 @@
     def _record_sample(
         self, pending: PendingRequest, attempt: Attempt, event: AttemptEnded, now_ms: float
     ) -> float | None:
-        """Record a sample of occupancy.
+        """Record a sample of occupancy, if the result shows anything about the load.
 
         Returns:
-            The latency in parts of the objective; None if the end of the attempt does not tell it.
+            Latency as a fraction of the objective; None if the result does not show it.
         """
         if attempt.started_at_ms < self._sweep_timer.stalled_at_ms or event.result in UNINFORMATIVE_RESULTS:
             return None
         if self._outliers.is_outlier(attempt.endpoint):
-            return None  # a few bad endpoints would shed load for all; they are ejected instead
+            return None  # Outliers are ejected; their latencies would shed load on all other endpoints.
         occupancy, class_name = self._admission.occupancy, pending.class_name
         if event.result in (AttemptResult.OK, AttemptResult.ERROR):
             latency = min(event.duration_ms / pending.request_class.latency_objective_ms, 1.0)
@@ -105,17 +116,26 @@
         return None
 
     def _record_response(self, class_name: str, latency: float, now_ms: float) -> None:
-        """Record an answer, beside the queueing delay that the attempts in flight predict (Little's law)."""
+        """Record a response, with the queueing delay that the attempts in flight predict by Little's law.
+
+        Args:
+            class_name: Name of the request class.
+            latency: Latency as a fraction of the objective, at most 1.
+            now_ms: The current time, in milliseconds.
+        """
         occupancy = self._admission.occupancy
         completions = self._traffic.completion_rate * self._uptime.age_ms(now_ms)
-        confidence = min(
-            completions / (3 * MIN_RELIABLE_SAMPLES), 1.0
-        )  # predicted from two or three completions it is noise
+        # A rate that was measured over two or three completions predicts nothing.
+        confidence = min(completions / (3 * MIN_RELIABLE_SAMPLES), 1.0)
         predicted_delay_ms, delay_noise_ms = self._predicted_delay_ms()
         occupancy.record_response(class_name, latency, predicted_delay_ms, delay_noise_ms, confidence)
 
     def _predicted_delay_ms(self) -> tuple[float, float]:
-        """Return the queueing delay of a new attempt, and how much of it may be chance, in milliseconds."""
+        """Return the predicted queueing delay of a new attempt, and its random variation.
+
+        Returns:
+            Delay beyond the baseline (negative for a latency below it) and random variation, in milliseconds.
+        """
         completion_rate, baseline_ms = self._traffic.completion_rate, self._admission.occupancy.baseline_ms
         if completion_rate <= 0:
             return 0.0, 0.0
@@ -124,10 +144,11 @@
         return in_flight / completion_rate - baseline_ms, delay_noise_ms
 
     def update_admission(self, now_ms: float) -> None:
-        """Update the fraction of requests admitted from the samples so far."""
+        """Update the admitted fraction from the samples since the last update."""
         occupancy = self._admission.occupancy
         if not occupancy.update(self._admission.admitted_fraction) and not self._pending:
-            # With few requests near the minimal fraction, occupancy would stay high long after an overload.
+            # Otherwise the occupancy would stay high long after an overload: near the minimum of the admitted
+            # fraction, few requests give new samples.
             occupancy.decay(1 - SWEEP_INTERVAL_MS / self._longest_objective_ms)
         overdue_requests = 0
         if occupancy.sample_count < MIN_OCCUPANCY_SAMPLES:
--- a/api_gateway/decisions/occupancy.py
+++ b/api_gateway/decisions/occupancy.py
@@ -1,10 +1,14 @@
-"""Occupancy of the back end: latency as a part of the class's objective, against the class's own baseline.
+"""Occupancy of the back end, estimated from the latencies of this gateway's own attempts.
 
-How much of its objective a class takes on idle endpoints differs between deployments. Where that baseline is
-above `MIN_SHED_OCCUPANCY`, occupancy counts from the baseline: no class is overload by its work alone.
+The occupancy that a response shows is its latency as a fraction of the latency objective of its class, at
+most 1. Rejections and timeouts count as 1.
 
-Source: q of SiRED, with latency over the objective (capped at 1; rejections and timeouts as 1) in place of
-the queue of one server.
+The baseline is the fraction of its objective that a class takes on idle endpoints. It differs between
+deployments. A baseline above `MIN_SHED_OCCUPANCY` is subtracted as far as it exceeds that threshold, so that
+a class whose work takes long does not count as overload.
+
+Source: the queue occupancy q of SiRED (see `api_gateway.decisions.admission`), with latency in place of the
+queue of a single server.
 """
 
 from __future__ import annotations
@@ -14,31 +18,37 @@
 
 from api_gateway.model.settings import RequestClass
 
-MIN_SHED_OCCUPANCY = 0.2  # Qmin of SiRED: occupancy up to which all is admitted
-SMOOTHING_SAMPLES = 20.0  # memory of the smoothed occupancy, and requests in a block of one class
-MIN_RELIABLE_SAMPLES = 5.0  # below so many an estimate weighs less
-MAX_INTERVAL_WEIGHT = 0.3  # most that the mean of one interval weighs in the smoothed occupancy
-MAX_BASELINE = 0.45  # part of the objective above which no answers count as a baseline
-MIN_BLOCK_DURATION_MS = (
-    1000.0  # over which the requests of a block are sent, so that queues come and go within it
-)
-MAX_BLOCK_REQUESTS = 80.0  # requests that are enough for a block in any time
-VARIANCE_SMOOTHING_SAMPLES = 100.0  # memory of how much the latencies of a class vary
-NOISE_STANDARD_DEVIATIONS = 3.0  # distance from the baseline within which occupancy is taken for chance
-BASELINE_STANDARD_ERRORS = 3.0  # by which the least of several means lies too low
-BASELINE_RISE_TIME_MS = 300000.0  # time in which the baseline follows answers that stay slow
-LOST_RESPONSE_LATENCY_MULTIPLE = 4.0  # after so many typical latencies an answer is taken for lost
-MAX_PREDICTION_WEIGHT = 0.5  # weight of the predicted queueing delay beside the latency of an answer
+MIN_SHED_OCCUPANCY = 0.2  # Qmin of SiRED: up to this occupancy all requests are admitted.
+
+# Samples over which occupancies and latencies are smoothed, and the minimum number of attempts in a block.
+SMOOTHING_SAMPLES = 20.0
+MIN_RELIABLE_SAMPLES = 5.0  # An estimate from fewer samples has less weight.
+MAX_INTERVAL_WEIGHT = 0.3  # Limits how far the samples of one update move the smoothed occupancy.
+MAX_BASELINE = 0.45  # A latency above this fraction of the objective never counts as a baseline.
+MIN_BLOCK_DURATION_MS = 1000.0  # Long enough for queues to build up and drain within one block.
+MAX_BLOCK_ATTEMPTS = 80.0  # A block with this many attempts is full whatever its duration.
+VARIANCE_SMOOTHING_SAMPLES = 100.0  # Samples over which the variance of latencies is smoothed.
+NOISE_STANDARD_DEVIATIONS = 3.0  # A smaller deviation from the baseline is attributed to random variation.
+BASELINE_STANDARD_ERRORS = 3.0  # The minimum of several block means is too low by about this much.
+BASELINE_RISE_TIME_MS = 300000.0  # Time in which the baseline rises to latencies that stay higher.
+LOST_RESPONSE_LATENCY_MULTIPLE = 4.0  # A response is assumed lost after this many typical latencies.
+MAX_PREDICTION_WEIGHT = 0.5  # Weight of a reliable prediction in a sample, beside the measured latency.
 
 
 class LatencyBlock:
-    """Requests of one class in the order in which they were sent.
+    """Consecutive attempts of one request class.
 
-    A baseline is learned from whole blocks: among the requests answered at any moment the fast ones are
-    over-represented.
+    The baseline is learned from whole blocks, because fast attempts are over-represented among those that
+    have a response at any given time.
 
     Args:
-        started_at_ms: When its first request was sent.
+        started_at_ms: When the first attempt was sent, in milliseconds.
+
+    Attributes:
+        sent_count: Number of attempts.
+        in_flight: Number of attempts in flight.
+        response_count: Number of attempts whose latency is known.
+        latency_sum: Sum of these latencies as fractions of the objective.
     """
 
     def __init__(self, started_at_ms: float) -> None:
@@ -46,20 +56,27 @@
         self.sent_count = 0
         self.in_flight = 0
         self.response_count = 0
-        self.latency_sum = 0.0  # in parts of the objective
+        self.latency_sum = 0.0
 
     def is_full(self, now_ms: float) -> bool:
-        """Whether it has enough requests, over a time long enough for queues to come and go."""
+        """Whether the block has enough attempts, over a time in which queues build up and drain."""
         elapsed_ms = now_ms - self.started_at_ms
-        min_requests = SMOOTHING_SAMPLES if elapsed_ms >= MIN_BLOCK_DURATION_MS else MAX_BLOCK_REQUESTS
-        return self.sent_count >= min_requests
+        min_attempts = SMOOTHING_SAMPLES if elapsed_ms >= MIN_BLOCK_DURATION_MS else MAX_BLOCK_ATTEMPTS
+        return self.sent_count >= min_attempts
 
 
 class ClassLatency:
-    """Latency of one request class in parts of its objective: recent, and on idle endpoints.
+    """Latencies of one request class, recent and on idle endpoints, as fractions of its objective.
 
     Args:
-        latency_objective_ms: The objective of the class.
+        latency_objective_ms: The latency objective of the class, in milliseconds.
+
+    Attributes:
+        sample_count: Number of latencies so far.
+        mean: Smoothed mean of the latencies.
+        variance: Smoothed variance of the latencies.
+        learned_baseline: Baseline learned from whole blocks; None until the first block is complete.
+        standard_error: Standard error of the mean latency of the last complete block.
     """
 
     def __init__(self, latency_objective_ms: float) -> None:
@@ -67,13 +84,13 @@
         self.sample_count = 0
         self.mean = 0.0
         self.variance = 0.0
-        self.learned_baseline: float | None = None  # None until a block is complete
-        self.standard_error = 0.0  # of the mean of a block
+        self.learned_baseline: float | None = None
+        self.standard_error = 0.0
         self._current_block: LatencyBlock | None = None
         self._block_completed_at_ms = 0.0
 
     def start_attempt(self, now_ms: float) -> LatencyBlock:
-        """Note an attempt, and return the block that it belongs to."""
+        """Record the start of an attempt, and return the block that it belongs to."""
         if self._current_block is None or self._current_block.is_full(now_ms):
             self._current_block = LatencyBlock(now_ms)
         self._current_block.sent_count += 1
@@ -81,12 +98,12 @@
         return self._current_block
 
     def end_attempt(self, block: LatencyBlock, latency: float | None, now_ms: float) -> None:
-        """Note the end of an attempt.
+        """Record the end of an attempt.
 
         Args:
-            block: What `start_attempt` returned.
-            latency: Its latency in parts of the objective; None if it tells nothing.
-            now_ms: The time of its end.
+            block: The block that `start_attempt` returned.
+            latency: Latency as a fraction of the objective; None if the result does not show it.
+            now_ms: When the attempt ended, in milliseconds.
         """
         block.in_flight -= 1
         if latency is not None:
@@ -105,7 +122,7 @@
         )
 
     def _learn_baseline(self, block: LatencyBlock, now_ms: float) -> None:
-        """Lower the baseline to the least mean of all blocks; raise it slowly where answers stay slow."""
+        """Lower the baseline at once to the mean of a faster block; raise it slowly towards slower ones."""
         if block is self._current_block:
             self._current_block = None
         mean = block.latency_sum / block.response_count
@@ -121,9 +138,10 @@
 
     @property
     def baseline(self) -> float:
-        """Latency on idle endpoints, in parts of the objective; until a block is complete the recent mean.
+        """Latency on idle endpoints, as a fraction of the objective.
 
-        The least of several means lies some standard errors too low, which matters for a high baseline only.
+        Until a block is complete, this is the recent mean. After that it follows the minimum of the block
+        means. This minimum is too low by some standard errors, which matters for a high baseline only.
         """
         if self.learned_baseline is None:
             return min(self.mean, MAX_BASELINE)
@@ -132,24 +150,28 @@
 
     @property
     def baseline_excess(self) -> float:
-        """How far the baseline lies above `MIN_SHED_OCCUPANCY`: 0 up to it, 1 from its double on."""
+        """How far the baseline exceeds `MIN_SHED_OCCUPANCY`, from 0 (not at all) to 1 (twice as high)."""
         if self.learned_baseline is None:
             return 0.0
         return min(max(self.learned_baseline / MIN_SHED_OCCUPANCY - 1.0, 0.0), 1.0)
 
     @property
     def standard_deviation(self) -> float:
-        """Standard deviation of a latency; few answers are taken to vary as much as their mean."""
+        """Standard deviation of the latencies; with few samples it tends towards their mean."""
         weighted_sum = self.variance * self.sample_count + self.mean**2 * MIN_RELIABLE_SAMPLES
         return math.sqrt(weighted_sum / (self.sample_count + MIN_RELIABLE_SAMPLES))
 
     @property
     def may_miss_objective_when_idle(self) -> bool:
-        """Whether answers of typical work miss the objective now and then on idle endpoints."""
+        """Whether some responses miss the objective even on idle endpoints."""
         return LOST_RESPONSE_LATENCY_MULTIPLE * self.baseline >= 1.0
 
     def occupancy(self, latency: float) -> float:
-        """Return the occupancy that a latency shows: what lies above the baseline counts."""
+        """Return the occupancy that a latency shows, less the excess of the baseline.
+
+        Args:
+            latency: Latency as a fraction of the objective.
+        """
         return latency - max(self.baseline - MIN_SHED_OCCUPANCY, 0.0)
 
 
@@ -158,20 +180,29 @@
 
     Args:
         classes: The request classes.
+
+    Attributes:
+        classes: Latencies of each request class, by name.
+        smoothed: The smoothed occupancy, 0 to 1 (q of SiRED).
+        sample_count: Samples since the start.
+        pending_samples: Samples since the last update.
+        recent_response_occupancy: Mean occupancy shown by the last responses, without predictions.
+        lost_response_fraction: Fraction of responses that were lost while other responses were fast.
+        baseline_ms: Mean latency of the classes of the last responses on idle endpoints, in milliseconds.
     """
 
     def __init__(self, classes: Iterable[RequestClass]) -> None:
         self.classes = {c.name: ClassLatency(c.latency_objective_ms) for c in classes}
-        self.smoothed = 0.0  # q of SiRED
+        self.smoothed = 0.0
         self.sample_count = 0
-        self.pending_samples = 0  # since the last update
-        self.recent_response_occupancy = 0.0  # mean of the last answers in time
-        self.lost_response_fraction = 0.0  # responses that never came while others were fast
-        self.baseline_ms = 0.0  # latency of the last answers' classes on idle endpoints, in the mean
+        self.pending_samples = 0
+        self.recent_response_occupancy = 0.0
+        self.lost_response_fraction = 0.0
+        self.baseline_ms = 0.0
         self._pending_occupancy_sum = 0.0
         self._pending_variance_sum = 0.0
-        self._noise_variance = 0.0  # of the smoothed occupancy, by single answers that differ
-        self._baseline_excess = 0.0  # of the last answers' classes, in the mean
+        self._noise_variance = 0.0  # Variance of the smoothed occupancy caused by that of single latencies.
+        self._baseline_excess = 0.0  # Mean over the classes of the last responses.
 
     def record_response(
         self,
@@ -181,15 +212,15 @@
         delay_noise_ms: float,
         confidence: float,
     ) -> None:
-        """Take in an answer.
+        """Record a response.
 
         Args:
-            class_name: Its request class.
-            latency: Its latency in parts of the objective.
+            class_name: Name of the request class.
+            latency: Latency as a fraction of the objective, at most 1.
             predicted_delay_ms: Queueing delay beyond the baseline that the attempts in flight predict for a
-                new one; below 0 for less than the baseline.
-            delay_noise_ms: How much of that may be chance.
-            confidence: Weight of the prediction, 0 to 1.
+                new attempt, in milliseconds; negative for a latency below the baseline.
+            delay_noise_ms: Random variation of the predicted delay, in milliseconds.
+            confidence: How reliable the prediction is, 0 to 1.
         """
         class_latency = self.classes[class_name]
         baseline = class_latency.baseline
@@ -199,7 +230,9 @@
         ) / SMOOTHING_SAMPLES
         self._baseline_excess += (excess - self._baseline_excess) / SMOOTHING_SAMPLES
         sample = class_latency.occupancy(latency)
-        weight = 0.0  # answers lag behind at a start, and what may be chance predicts nothing
+        # At a start, responses lag behind the attempts in flight, so that no prediction is used before the
+        # baseline is known. A predicted delay within its random variation is not used, either.
+        weight = 0.0
         if class_latency.learned_baseline is not None and abs(predicted_delay_ms) > excess * delay_noise_ms:
             weight = (
                 MAX_PREDICTION_WEIGHT * confidence * (1.0 - excess * delay_noise_ms / abs(predicted_delay_ms))
@@ -212,13 +245,16 @@
         self._add_sample(sample + weight * (predicted - sample), (1 - weight) ** 2 * variance)
 
     def record_timeout(self, class_name: str) -> bool:
-        """Take in an attempt with no answer in time.
+        """Record an attempt that had no response in time.
 
-        While others are answered as usual its response was lost, or a single endpoint hangs, unless typical
-        work of the class misses the objective by itself.
+        While other responses are fast, the response was lost or a single endpoint hangs, which is no
+        overload. Nothing can be concluded for a class that may miss its objective even on idle endpoints.
+
+        Args:
+            class_name: Name of the request class.
 
         Returns:
-            Whether it counts as overload.
+            Whether the timeout counts as overload.
         """
         class_latency = self.classes[class_name]
         if (
@@ -231,7 +267,7 @@
         return True
 
     def record_overload(self) -> None:
-        """Take in an attempt that an endpoint rejected or left without an answer."""
+        """Record an attempt that an endpoint rejected or did not respond to."""
         self._add_sample(1.0, 0.0)
 
     def _add_sample(self, sample: float, variance: float) -> None:
@@ -240,10 +276,11 @@
         self._pending_variance_sum += variance
 
     def update(self, admitted_fraction: float) -> bool:
-        """Take the samples since the last update into the smoothed occupancy.
+        """Update the smoothed occupancy with the samples since the last update.
 
         Args:
-            admitted_fraction: Part of the requests that was admitted: the memory counts requests received.
+            admitted_fraction: Fraction of requests admitted since then, above 0. Smoothing counts requests
+                received, so that shedding does not slow it down.
 
         Returns:
             Whether there were any samples.
@@ -264,10 +301,10 @@
         return True
 
     def decay(self, factor: float) -> None:
-        """Lower the smoothed occupancy while no samples come, so that the end of an overload is noticed."""
+        """Multiply the smoothed occupancy by a factor, so that an overload ends even without samples."""
         self.smoothed *= factor
 
     @property
     def noise(self) -> float:
-        """How far the smoothed occupancy may lie above the baseline with nothing wrong."""
+        """How far random variation alone may raise the smoothed occupancy."""
         return self._baseline_excess * NOISE_STANDARD_DEVIATIONS * math.sqrt(self._noise_variance)
--- a/api_gateway/decisions/quota.py
+++ b/api_gateway/decisions/quota.py
@@ -1,7 +1,8 @@
-"""A tenant's quota: what this gateway takes to be left of the token bucket that all gateways share.
+"""A tenant's quota: this gateway's estimate of what remains in the token bucket that all gateways share.
 
-Usage is counted in windows. Each gateway reports its own usage to the counter service, and reads from the
-total what the others used; between two totals, and while the counter is silent, it estimates.
+Usage is counted in windows. Each gateway adds its own usage to a count at the counter service, and the
+counter value that it gets back shows the usage of all others. Between two counter values, and while the
+counter does not respond, a gateway estimates the others' usage.
 """
 
 from __future__ import annotations
@@ -13,11 +14,12 @@
 from api_gateway.decisions.random_rounding import round_randomly
 from api_gateway.model.settings import Plan
 
-REFILLS_PER_WINDOW = 2.0  # a window lasts so many times burst / rate
-MAX_COUNT_TTL_MS = 60000.0  # longest life of a count at the counter
+REFILLS_PER_WINDOW = 2.0  # An empty bucket could be refilled this many times in one window.
+MAX_COUNT_TTL_MS = 60000.0  # Maximum time to live of a count at the counter service.
 MIN_WINDOW_MS = 1.0
-ESTIMATE_HEADROOM = 1.5  # share of an even split while nothing is overloaded: usage is uneven
-PEER_USAGE_TIME_CONSTANT_MS = 1000.0  # memory of the other gateways' rate of usage
+# Usage is uneven over the gateways: while there is no overload, each may use this multiple of an even split.
+ESTIMATE_HEADROOM = 1.5
+PEER_USAGE_TIME_CONSTANT_MS = 1000.0  # Minimum time constant of the other gateways' usage rate.
 ROUNDING_TOLERANCE = 1e-9
 COUNTER_VALUE_TOLERANCE = 1e-6
 
@@ -29,12 +31,12 @@
 
 
 class QuotaConditions:
-    """What the estimates of all tenants depend on.
+    """Conditions that the quota estimates of all tenants depend on.
 
     Args:
-        admission: Knows whether the back end is overloaded.
-        counter_health: Knows whether totals can be relied on.
-        rng: Source of the draws that round estimates below one request.
+        admission: Admission control, which shows whether the back end is overloaded.
+        counter_health: Shows whether the counter responds reliably.
+        rng: Source of the random draws that round estimates below the size of one request.
     """
 
     def __init__(self, admission: AdmissionController, counter_health: CounterHealth, rng: Random) -> None:
@@ -44,37 +46,38 @@
 
     @property
     def is_counter_reliable(self) -> bool:
-        """Whether most counter calls are answered."""
+        """Whether most counter calls get a response."""
         return self._counter_health.is_reliable
 
     @property
     def headroom(self) -> float:
-        """Factor on an even split of the quota over its gateways."""
+        """Multiple of an even split of the quota that one gateway may use."""
         return ESTIMATE_HEADROOM if self._admission.admitted_fraction >= 1 else 1.0
 
 
 class TenantQuota:
-    """What is left of one tenant's quota.
+    """The remaining quota of one tenant, as estimated by this gateway.
 
     Args:
-        plan: The tenant's plan.
-        gateway_count: Gateways that the tenant's requests come through.
-        now_ms: The time now.
-        uptime_ms: How long this gateway has been up. Its usage before a restart is unknown, so it starts with
-            the refill since then.
-        conditions: What the estimates depend on.
+        plan: Plan of the tenant, with a quota or without.
+        gateway_count: Number of gateways that the tenant's requests may come through.
+        now_ms: The current time, in milliseconds.
+        uptime_ms: Time since the start of this gateway, in milliseconds. Its usage before a restart is
+            unknown, so that it begins with its share of the refill since the start.
+        conditions: Conditions that the estimates depend on.
 
     Attributes:
-        gateway_count: Gateways named in this window or the last.
-        window: Number of the window; -1 before the first.
-        window_started_at_ms: When it began.
-        is_counter_value_unknown: Whether no total of this window was read.
-        local_usage: Units that this gateway used in the window, and those that it charged to it.
-        remaining: Units taken to be left, as of `remaining_at_ms`.
-        remaining_upper_bound: Units left if no other gateway uses any.
-        peer_usage_rate: Estimate of the other gateways' usage, in units per millisecond.
-        last_counter_value: The last total read; None if none was.
-        last_counter_value_at_ms: When it was read.
+        gateway_count: Maximum number of gateways named by a request of this window or the last.
+        window: Number of the current window; -1 before the first.
+        window_started_at_ms: When the current window began, in milliseconds.
+        is_counter_value_unknown: Whether no counter value of the current window has been read.
+        local_usage: Units that this gateway used in the current window or charged to it.
+        remaining: Estimate of the remaining units at `remaining_at_ms`.
+        remaining_at_ms: When `remaining` was last updated, in milliseconds.
+        remaining_upper_bound: Remaining units if no other gateway used any since the last counter value.
+        peer_usage_rate: Estimated usage of all other gateways, in units per millisecond.
+        last_counter_value: Last counter value read, 0 after a new window has begun; None if there was none.
+        last_counter_value_at_ms: When it was read, in milliseconds.
     """
 
     def __init__(
@@ -97,17 +100,17 @@
         self._reported_at_last_counter_value = 0.0
 
     def note_gateway_count(self, gateway_count: int) -> None:
-        """Note how many gateways a request names; the largest number holds for this window and the next."""
+        """Record how many gateways a request names; the maximum applies to this window and the next."""
         self._gateway_count_in_window = max(self._gateway_count_in_window, gateway_count)
         self.gateway_count = max(self.gateway_count, gateway_count)
 
     def start_window(self, window: int, started_at_ms: float, unreported_usage: float) -> None:
-        """Start a window; what is taken to be left goes on.
+        """Start a window; the estimate of the remaining units carries over.
 
         Args:
-            window: Its number.
-            started_at_ms: When it began.
-            unreported_usage: Usage of the last window that is charged to this one.
+            window: Number of the window.
+            started_at_ms: When it began, in milliseconds.
+            unreported_usage: Units used in the last window that are charged to this one.
         """
         self.local_usage = unreported_usage
         self.window = window
@@ -119,13 +122,13 @@
         self.last_counter_value = None if self.last_counter_value is None else 0.0
 
     def refill(self, now_ms: float) -> float:
-        """Bring the estimate up to date: refill less the other gateways' estimated usage.
+        """Update the estimate by the refill, less the estimated usage of the other gateways.
 
-        Without a total, or with a counter that does not answer, this gateway keeps to its share of an even
-        split at least.
+        Without a counter value, or while the counter is unreliable, the estimate rises at least at the rate
+        of this gateway's share of an even split.
 
         Returns:
-            Units taken to be left.
+            Estimate of the remaining units.
         """
         elapsed_ms = max(now_ms - self.remaining_at_ms, 0.0)
         burst, rate = self.plan.quota_burst, self.plan.quota_rate / 1000
@@ -146,12 +149,14 @@
         return self.last_counter_value is None or not self._conditions.is_counter_reliable
 
     def admits(self, units: float, now_ms: float) -> bool:
-        """Refill, and return whether a request of so many units is within the quota.
+        """Refill, and return whether a request of this size is within the quota.
 
-        Where only an estimate is known, one that is below the request is rounded by a random draw.
+        Without a counter value, the first request of a tenant is admitted: it costs little, and its counter
+        call returns a counter value. An estimate that is less than the request is rounded by a random draw.
 
-        The first request of a tenant with no known total is admitted: it costs little, and its counter call
-        tells the total.
+        Args:
+            units: Size of the request.
+            now_ms: The current time, in milliseconds.
         """
         if self.plan.quota_rate <= 0 or (self.last_counter_value is None and self.local_usage == 0):
             return True
@@ -161,24 +166,32 @@
         return self.remaining >= units - ROUNDING_TOLERANCE
 
     def is_uncertain(self, units: float, now_ms: float) -> bool:
-        """Refill, and return whether the estimate may not allow so many units while the last total does."""
+        """Refill, and return whether only a new counter value can show whether so many units remain.
+
+        That is so if the estimate may be too low for them, but the last counter value leaves enough.
+
+        Args:
+            units: Size of the request.
+            now_ms: The current time, in milliseconds.
+        """
         peer_usage = max(self.peer_usage_rate, 0.0) * (now_ms - self.last_counter_value_at_ms)
-        uncertainty: float = peer_usage**0.5  # usage by independent requests varies by its square root
+        # The usage of independent requests varies by about its square root.
+        uncertainty: float = peer_usage**0.5
         return self.refill(now_ms) - uncertainty < units <= self.remaining_upper_bound
 
     def spend(self, units: float) -> None:
-        """Charge so many units; negative ones are given back."""
+        """Charge units to the quota; a negative number gives them back."""
         self.local_usage += units
         self.remaining -= units
         self.remaining_upper_bound -= units
 
     def record_counter_value(self, counter_value: float, reported_usage: float, now_ms: float) -> None:
-        """Take in a total: what all gateways used in this window, and the debt carried over to it.
+        """Record a counter value of the current window.
 
         Args:
-            counter_value: The total of this window.
-            reported_usage: What this gateway has reported in this window.
-            now_ms: The time now.
+            counter_value: Units that all gateways used in the window, and the debt carried over to it.
+            reported_usage: Units that this gateway has reported in the window.
+            now_ms: The current time, in milliseconds.
         """
         peer_usage = (
             counter_value
@@ -186,7 +199,7 @@
             - (reported_usage - self._reported_at_last_counter_value)
         )
         self.refill(now_ms)
-        # A counter that has restarted has less than was reported to it: its total is not used.
+        # After a restart of the counter its value is less than what was reported, and is not used.
         if (
             counter_value >= reported_usage - COUNTER_VALUE_TOLERANCE
             and peer_usage >= -COUNTER_VALUE_TOLERANCE
@@ -200,7 +213,7 @@
     def _set_remaining(
         self, counter_value: float, peer_usage: float, reported_usage: float, now_ms: float
     ) -> None:
-        """Set what is left; usage beyond the quota takes nothing from the bucket for ever."""
+        """Set the remaining units, at least 0: usage beyond the quota is not charged permanently."""
         remaining = self.remaining_upper_bound - peer_usage
         if self.is_counter_value_unknown:
             refill = self.plan.quota_rate * (now_ms - self.window_started_at_ms) / 1000
@@ -209,9 +222,9 @@
         self.remaining = self.remaining_upper_bound = max(remaining, 0.0)
 
     def _estimate_peer_usage(self, peer_usage: float, now_ms: float) -> None:
-        """Update the estimate of the other gateways' rate of usage."""
+        """Update the estimated usage rate of the other gateways."""
         if self.last_counter_value is None:
-            # The first total holds what was used since the window's start.
+            # The first counter value includes all usage since the start of the window.
             elapsed_ms = max(now_ms - self.window_started_at_ms, PEER_USAGE_TIME_CONSTANT_MS)
             self.peer_usage_rate = min(peer_usage / elapsed_ms, self.plan.quota_rate / 1000)
         elif not self.is_counter_value_unknown:
@@ -225,16 +238,17 @@
             )
 
     def carry_over_debt(self, previous_counter_value: float, now_ms: float) -> tuple[float, float]:
-        """Charge to this window what was used beyond the last window's refill.
+        """Charge the usage beyond the refill of the last window to the current one.
 
-        So any gateway reads from one total what is left of the bucket, whoever used it.
+        With this debt in the count, one counter value shows any gateway what remains in the bucket.
 
         Args:
-            previous_counter_value: The total of the last window.
-            now_ms: The time now.
+            previous_counter_value: Final counter value of the last window.
+            now_ms: The current time, in milliseconds.
 
         Returns:
-            The units charged, and the refill of this window that found the bucket full.
+            The debt in units, and the units of refill in this window that exceed it and so did not fit into
+            the full bucket.
         """
         rate = self.plan.quota_rate / 1000
         refill_of_window = rate * window_length_ms(self.plan)
--- a/api_gateway/decisions/random_rounding.py
+++ b/api_gateway/decisions/random_rounding.py
@@ -1,4 +1,4 @@
-"""Randomized rounding of a budget that is smaller than what is asked of it."""
+"""Randomized rounding of a budget that is smaller than one request."""
 
 from __future__ import annotations
 
@@ -6,18 +6,19 @@
 
 
 def round_randomly(available: float, required: float, rng: Random) -> float:
-    """Round `available` below `required` to 0 or to `required`, with `available` as its expected value.
+    """Round a budget that is too small for a request to 0 or to the size of the request.
 
-    A budget split over many gateways may be less than one request at each of them. With this each gateway
-    admits a whole request now and then, and the sum over the gateways stays right.
+    The expected value of the result is the budget. A budget that is split over many gateways may be too small
+    for one request at each of them. With rounding, a few gateways admit a request each, and the sum over all
+    gateways stays correct.
 
     Args:
-        available: What is left of a budget.
-        required: What one request takes of it.
-        rng: Source of the one random draw, made only where 0 < available < required.
+        available: The remaining budget.
+        required: Budget that the request needs, in the same unit.
+        rng: Source of the random draw, which is only made if 0 < available < required.
 
     Returns:
-        `available` itself where it covers the request or is not positive, else 0 or `required`.
+        0 or `required` if 0 < available < required, else `available` unchanged.
     """
     if available >= required or available <= 0:
         return available
--- a/api_gateway/decisions/tenants.py
+++ b/api_gateway/decisions/tenants.py
@@ -1,4 +1,4 @@
-"""The tenants that this gateway knows, and the state that it keeps of each."""
+"""Table of the tenants with recent requests, and the state of each."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from api_gateway.model.events import RequestReceived
 from api_gateway.model.settings import Plan, Settings
 
-MAX_TENANTS = 8192  # known at once, so that a flood of new names cannot fill the memory
-FORGET_AFTER_WINDOWS = 3.0  # windows without a request after which a tenant is forgotten
-MAX_TENANTS_EXAMINED = 64  # tenants examined at once, the longest unseen first
+MAX_TENANTS = 8192  # Limits the memory that requests with many different tenant names can take.
+FORGET_AFTER_WINDOWS = 3.0  # A tenant may be forgotten after this many windows without a request.
+MAX_TENANTS_EXAMINED = 64  # Limits the time of one search for tenants to forget.
 HASH_BYTES = 8
 
 
@@ -24,16 +24,16 @@
     """One tenant under one plan.
 
     Args:
-        key: Its name and that of its plan.
-        plan: Its plan.
-        quota: Its quota.
-        ceiling: This gateway's share of its ceiling.
-        report: What was reported of its usage.
-        window_phase: Part of a window by which its windows are shifted, 0 to 1.
+        key: Name of the tenant and name of the plan.
+        plan: The plan.
+        quota: Estimate of the remaining quota.
+        ceiling: This gateway's share of the ceiling.
+        report: State of the counter calls.
+        window_phase: Shift of the tenant's windows, as a fraction of a window from 0 to 1.
 
     Attributes:
-        in_flight: Requests that hold a place of its limit on concurrent requests.
-        last_request_at_ms: When its last request came.
+        in_flight: Requests that count towards the limit on concurrent requests.
+        last_request_at_ms: When the last request was received, in milliseconds.
     """
 
     def __init__(
@@ -53,40 +53,47 @@
         self.in_flight = 0
         self.last_request_at_ms = 0.0
         self._window_phase = window_phase
-        # Worked out once: the sweep asks for it of many tenants.
+        # Computed once, since each sweep needs it for many tenants; 0 without a quota.
         self._window_length_ms = window_length_ms(plan) if plan.quota_rate > 0 else 0.0
 
     def window_at(self, now_ms: float) -> tuple[int, float]:
-        """Return the number of the quota window at a time, and when it began."""
+        """Return the quota window at a time; the plan must have a quota.
+
+        Returns:
+            The number of the window and the time when it began, in milliseconds.
+        """
         length_ms = self._window_length_ms
         position = now_ms / length_ms + self._window_phase
         return int(position), now_ms - position % 1 * length_ms
 
     def is_at_concurrency_limit(self) -> bool:
-        """Whether this gateway's share of the tenant's concurrent requests is in use."""
+        """Return whether this gateway's share of the tenant's concurrent requests is used up."""
         limit = self.plan.max_concurrent_requests
         return bool(limit) and self.in_flight >= max(1, limit // self.quota.gateway_count)
 
     def may_be_forgotten(self, now_ms: float) -> bool:
-        """Whether nothing would be lost: its ceiling share, which starts empty, must be full again."""
+        """Return whether the tenant can be forgotten without a change in what it is allowed.
+
+        A new ceiling share starts empty, so that the current one must be full.
+        """
         is_unused = not self.in_flight and not self.report.waiting_requests
         return is_unused and self.ceiling.is_full_after(now_ms - self.last_request_at_ms)
 
     def is_idle(self, now_ms: float) -> bool:
-        """Whether it has sent nothing for so long that it may be forgotten."""
+        """Return whether the tenant has sent no request for several windows and may be forgotten."""
         idle_period_ms = self._window_length_ms or RATE_TIME_CONSTANT_MS
         has_no_recent_request = now_ms - self.last_request_at_ms >= FORGET_AFTER_WINDOWS * idle_period_ms
         return has_no_recent_request and self.may_be_forgotten(now_ms)
 
 
 class TenantTable:
-    """The tenants that are known, the longest unseen first.
+    """The known tenants, in the order of their last requests.
 
     Args:
-        settings: The gateway's settings.
-        uptime: How long the gateway has been up.
-        conditions: What the estimates of quotas depend on.
-        on_forget: Called with a tenant that is forgotten.
+        settings: Settings of the gateway.
+        uptime: Time since the gateway started.
+        conditions: Conditions that the quota estimates depend on.
+        on_forget: Called with each tenant that is forgotten.
     """
 
     def __init__(
@@ -108,11 +115,15 @@
         return len(self._tenants)
 
     def __iter__(self) -> Iterator[tuple[str, str]]:
-        """Iterate over the names and plans of the tenants, the longest unseen first."""
+        """Iterate over the keys (tenant name, plan name), the least recently used first."""
         return iter(self._tenants)
 
     def __getitem__(self, key: tuple[str, str]) -> Tenant:
-        """Return the tenant of this name and plan."""
+        """Return the tenant with a key (tenant name, plan name).
+
+        Raises:
+            KeyError: There is no such tenant.
+        """
         return self._tenants[key]
 
     def values(self) -> list[Tenant]:
@@ -120,15 +131,15 @@
         return list(self._tenants.values())
 
     def clear(self) -> None:
-        """Forget all tenants at once."""
+        """Remove all tenants without calling `on_forget`."""
         self._tenants.clear()
 
     def gateway_count(self, request: RequestReceived) -> int:
-        """Return how many gateways a request may come through, within the size of the fleet."""
+        """Return the number of gateways that a request names, limited to the size of the fleet."""
         return max(1, min(request.gateway_count, self._fleet_size))
 
     def find_or_create(self, request: RequestReceived, plan: Plan, now_ms: float) -> Tenant | None:
-        """Return the tenant of a request, known or new; None if no more can be known."""
+        """Return the tenant of a request, which is created if necessary; None if the table is full."""
         key = (request.tenant, plan.name)
         tenant = self._tenants.pop(key, None)
         if tenant is None:
@@ -154,12 +165,12 @@
             quota=quota,
             ceiling=CeilingShare(plan, self._uptime.started_at_ms or 0.0),
             report=UsageReport(quota, name_hash.hexdigest() + self._count_name_tags[plan.name]),
-            # Windows begin at a phase of the tenant's own, so that their calls do not all come at once.
+            # Each tenant's windows have a phase of their own, so that counter calls are spread over time.
             window_phase=int.from_bytes(name_hash.digest()[:2], "big") / 65536,
         )
 
     def _forget_one(self, now_ms: float) -> bool:
-        """Forget the longest unseen tenant that may be forgotten; whether there was one."""
+        """Forget the least recently used tenant that may be forgotten, and return whether there was one."""
         examined = islice(self._tenants.values(), MAX_TENANTS_EXAMINED)
         tenant = next((tenant for tenant in examined if tenant.may_be_forgotten(now_ms)), None)
         if tenant is not None:
@@ -167,7 +178,7 @@
         return tenant is not None
 
     def forget_idle(self, now_ms: float) -> None:
-        """Forget tenants that have sent nothing for long."""
+        """Forget the idle ones among the least recently used tenants."""
         for tenant in list(islice(self._tenants.values(), MAX_TENANTS_EXAMINED)):
             if tenant.is_idle(now_ms):
                 self._forget(tenant)
@@ -178,9 +189,16 @@
 
 
 def count_name_tags(plans: Iterable[Plan]) -> dict[str, str]:
-    """Return what tells the counts of a tenant's plans apart, by plan.
+    """Return a tag for the count names of each plan, which keeps counts of different plans apart.
+
+    Only plans that share their window length with another one need a tag; that of the others is empty. The
+    names must never change, since gateways of two versions use the same counts during a rollout.
+
+    Args:
+        plans: All plans, in the order of the settings.
 
-    Names of counts never change: gateways of two versions must count together during a rollout.
+    Returns:
+        The tags by plan name.
     """
     plans = tuple(plans)
     lengths_ms = [window_length_ms(plan) if plan.quota_rate > 0 else 0.0 for plan in plans]
--- a/api_gateway/decisions/traffic.py
+++ b/api_gateway/decisions/traffic.py
@@ -1,22 +1,24 @@
-"""Rates that this gateway observes: completions, attempts, and work admitted and sent."""
+"""Rates at which this gateway completes attempts, starts them, and admits and sends work."""
 
 from __future__ import annotations
 
 from api_gateway.decisions.occupancy import MIN_RELIABLE_SAMPLES
 
-RATE_TIME_CONSTANT_MS = 1000.0  # memory of the rates of completions and of work on warm endpoints
-ATTEMPT_RATE_TIME_CONSTANT_MS = 5000.0  # memory of the rates that the size of the subset follows
+# The rates of completions and of work on warm endpoints are smoothed with this time constant.
+RATE_TIME_CONSTANT_MS = 1000.0
+# The rates of attempts and of admitted work, which the size of the subset follows, have this time constant.
+ATTEMPT_RATE_TIME_CONSTANT_MS = 5000.0
 MIN_RATE = 1e-9
 
 
 class TrafficRates:
-    """Running rates; work is in milliseconds of typical latency, rates are per millisecond.
+    """Exponentially smoothed rates. The unit of work is a millisecond of typical latency.
 
     Attributes:
-        completion_rate: Successful attempts.
-        warm_work_rate: Work sent to a warm endpoint, in the mean over the warm ones.
-        attempt_rate: Attempts.
-        admitted_work_rate: Work admitted, whether or not an endpoint was free for it.
+        completion_rate: Successful attempts per millisecond.
+        warm_work_rate: Work sent to a warm endpoint per millisecond, as the mean over the warm endpoints.
+        attempt_rate: Attempts per millisecond.
+        admitted_work_rate: Work admitted per millisecond, whether or not an endpoint was available for it.
     """
 
     def __init__(self) -> None:
@@ -24,38 +26,40 @@
         self.warm_work_rate = 0.0
         self.attempt_rate = 0.0
         self.admitted_work_rate = 0.0
-        self._completions = 0.0  # since the last sweep, like all that follow
+        # Since the last sweep:
+        self._completions = 0.0
         self._warm_work = 0.0
         self._attempts = 0
         self._admitted_work = 0.0
 
     def record_completion(self) -> None:
-        """Note a successful attempt."""
+        """Record a successful attempt."""
         self._completions += 1
 
     def record_admitted(self, work: float) -> None:
-        """Note an admitted request."""
+        """Record the work of an admitted request."""
         self._admitted_work += work
 
     def record_attempt(self) -> None:
-        """Note an attempt."""
+        """Record the start of an attempt."""
         self._attempts += 1
 
     def record_warm_work(self, work: float) -> None:
-        """Note work sent to a warm endpoint."""
+        """Record work sent to a warm endpoint."""
         self._warm_work += work
 
     def sweep_completions(self, elapsed_ms: float, uptime_ms: float) -> float:
-        """Take in the completions since the last sweep.
+        """Update the completion rate.
 
-        The memory holds some completions at least: a rate of two a second means nothing over one second.
+        The time constant is long enough for several completions: a rate of two per second cannot be measured
+        over one second.
 
         Args:
-            elapsed_ms: Time since the last sweep.
-            uptime_ms: Time since the start.
+            elapsed_ms: Time since the last sweep, in milliseconds, above 0.
+            uptime_ms: Time since the start of the gateway, in milliseconds.
 
         Returns:
-            Weight of what is remembered in the rates, 0 to 1.
+            Weight of the previous value in the rates, 0 to 1.
         """
         time_constant_ms = max(
             RATE_TIME_CONSTANT_MS, 3 * MIN_RELIABLE_SAMPLES / max(self.completion_rate, MIN_RATE)
@@ -69,14 +73,25 @@
         return decay_factor
 
     def sweep_warm_work(self, elapsed_ms: float, decay_factor: float, warm_endpoints: int) -> None:
-        """Take in the work sent to warm endpoints since the last sweep; with none the rate stays."""
+        """Update the rate of work on warm endpoints; without any, it stays as it is.
+
+        Args:
+            elapsed_ms: Time since the last sweep, in milliseconds, above 0.
+            decay_factor: Weight of the previous value, 0 to 1.
+            warm_endpoints: Number of warm endpoints.
+        """
         if warm_endpoints:
             latest = (1 - decay_factor) * self._warm_work / elapsed_ms / warm_endpoints
             self.warm_work_rate = decay_factor * self.warm_work_rate + latest
         self._warm_work = 0.0
 
     def sweep_attempts(self, elapsed_ms: float, uptime_ms: float) -> None:
-        """Take in the attempts and the admitted work since the last sweep."""
+        """Update the rates of attempts and of admitted work.
+
+        Args:
+            elapsed_ms: Time since the last sweep, in milliseconds, above 0.
+            uptime_ms: Time since the start of the gateway, in milliseconds.
+        """
         time_constant_ms = min(ATTEMPT_RATE_TIME_CONSTANT_MS, uptime_ms)
         decay_factor = time_constant_ms / (time_constant_ms + elapsed_ms)
         self.attempt_rate = (
--- a/api_gateway/decisions/usage_report.py
+++ b/api_gateway/decisions/usage_report.py
@@ -1,4 +1,4 @@
-"""What one gateway has reported of one tenant's usage, and what it asked the counter."""
+"""Counter calls of one tenant: reported usage, the call in flight and the requests that wait for it."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 
 class UsageReport:
-    """One tenant's usage as reported to the counter.
+    """Usage of one tenant as reported to the counter by this gateway.
 
     Args:
-        quota: The tenant's quota.
-        count_prefix: Start of the names of its counts, which end with the window's number.
+        quota: Quota of the tenant.
+        count_prefix: Prefix of the names of its counts, to which the number of the window is appended.
 
     Attributes:
-        count_name: Name of the count of this window; empty before the first window.
-        previous_count_name: Name of the count of the last window.
-        reported_usage: Units reported in this window.
-        expired_refill: Refill that found the bucket full, to be reported next.
-        is_call_in_flight: Whether a call is in flight.
-        last_call_at_ms: When the last call was made.
-        amount_in_call: What it adds.
-        waiting_requests: Requests that wait for a total.
-        query_success_fraction: Part of the queries of a total that found units left.
+        count_name: Name of the count of the current window; empty before the first window.
+        previous_count_name: Name of the count of the last window; empty before the first window.
+        reported_usage: Units reported in the current window.
+        expired_refill: Units of refill that did not fit into the full bucket, added to the next report.
+        is_call_in_flight: Whether a counter call is in flight.
+        last_call_at_ms: When the last counter call was made, in milliseconds.
+        amount_in_call: Units that the last counter call adds to its count.
+        waiting_requests: Requests that wait for a counter value.
+        query_success_fraction: Running fraction of queries that showed enough remaining units, 0 to 1.
     """
 
     def __init__(self, quota: TenantQuota, count_prefix: str) -> None:
@@ -42,11 +42,11 @@
 
     @property
     def unreported_usage(self) -> float:
-        """Units used in this window and not reported."""
+        """Units used in the current window and not reported yet."""
         return self._quota.local_usage - self.reported_usage
 
     def start_window(self, window: int) -> None:
-        """Start a window with a count of its own."""
+        """Start a window, which has a count of its own."""
         self.count_name = f"{self._count_prefix}.{window}"
         self.previous_count_name = f"{self._count_prefix}.{window - 1}"
         self.expired_refill = 0.0
@@ -54,13 +54,13 @@
         self.is_call_in_flight = False
 
     def start_call(self, amount: float, now_ms: float) -> None:
-        """Note a call that adds an amount."""
+        """Record a counter call that adds an amount of units."""
         self.is_call_in_flight = True
         self.last_call_at_ms = now_ms
         self.amount_in_call = amount
 
     def take_report_amount(self, usage: float) -> float:
-        """Mark usage as reported, together with the expired refill; return the amount to add."""
+        """Mark usage and the expired refill as reported, and return their sum, the amount to add."""
         amount = usage + self.expired_refill
         self._quota.local_usage += self.expired_refill
         self._expired_refill_in_call, self.expired_refill = self.expired_refill, 0.0
@@ -68,14 +68,15 @@
         return amount
 
     def undo_call(self) -> None:
-        """Take back the amount of a call that was not added."""
+        """Mark the amount of a call as not reported, because the counter did not add it."""
         self.reported_usage -= self.amount_in_call
         self._quota.local_usage -= self._expired_refill_in_call
 
     def take_waiting_requests(self) -> list[PendingRequest]:
-        """Return the requests that wait for a total, and note whether the query found units left.
+        """Remove and return the waiting requests, and update the query success fraction.
 
-        All gateways would query again and again for a tenant that sends far more than its quota.
+        The fraction limits queries for a tenant that sends far more than its quota. Otherwise all gateways
+        would query the counter for each of its requests.
         """
         waiting_requests, self.waiting_requests = self.waiting_requests, []
         if waiting_requests:
--- a/api_gateway/decisions/usage_reporting.py
+++ b/api_gateway/decisions/usage_reporting.py
@@ -1,4 +1,4 @@
-"""Reports usage to the counter service, and queries totals for requests near the limit of their quota."""
+"""Counter calls that report usage and that query counter values for requests near the limit of a quota."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 class UsageReporter:
-    """Makes the counter calls of all tenants, one at a time for each.
+    """Makes the counter calls of all tenants, at most one at a time for each tenant.
 
     Args:
-        settings: The gateway's settings.
-        health: How well the counter answers.
-        rng: Source of the draws that throttle queries.
-        actions: Where calls are added.
+        settings: Settings of the gateway.
+        health: Whether the counter responds reliably.
+        rng: Source of the random draws that throttle queries.
+        actions: List to which the calls are appended.
     """
 
     def __init__(self, settings: Settings, health: CounterHealth, rng: Random, actions: list[Action]) -> None:
@@ -29,20 +29,27 @@
         self._health = health
         self._rng = rng
         self._actions = actions
-        self._tenants_by_count: dict[str, Tenant] = {}  # by the name of a count that was called
-        self._waiting_requests: dict[str, PendingRequest] = {}  # requests that wait for a total, by id
-        self._waiting_tenants: dict[Tenant, None] = {}  # whose requests wait, or have left while they waited
+        self._tenants_by_count: dict[str, Tenant] = {}  # Keys are the names of counts.
+        self._waiting_requests: dict[str, PendingRequest] = {}  # Keys are request ids.
+        # Ordered set of the tenants with requests that wait, or whose clients disconnected while they waited.
+        self._waiting_tenants: dict[Tenant, None] = {}
 
     def is_waiting(self, request_id: str) -> bool:
-        """Whether a request waits for a total."""
+        """Return whether a request waits for a counter value."""
         return request_id in self._waiting_requests
 
     def stop_waiting(self, request_id: str) -> bool:
-        """Take a request out of those that wait; whether it was among them."""
+        """Remove a request from those that wait, and return whether it was one of them."""
         return self._waiting_requests.pop(request_id, None) is not None
 
     def needs_counter_value(self, tenant: Tenant, units: float, now_ms: float) -> bool:
-        """Decide, by random draws, whether a request waits for a total before it is decided on."""
+        """Decide by random draws whether a request has to wait for a counter value.
+
+        Args:
+            tenant: Tenant of the request.
+            units: Size of the request.
+            now_ms: The current time, in milliseconds.
+        """
         if not self._is_enabled or tenant.plan.quota_rate <= 0 or not self._health.may_call(now_ms):
             return False
         is_uncertain = tenant.quota.is_uncertain(units, now_ms)
@@ -52,7 +59,7 @@
         return is_uncertain and self._rng.random() < query_probability
 
     def wait_for_counter_value(self, pending: PendingRequest, now_ms: float) -> None:
-        """Let a request wait for a total, and call for it with its units added."""
+        """Let a request wait for a counter value, and query it with the units of the request added."""
         tenant = pending.tenant
         self._waiting_requests[pending.request_id] = pending
         self._waiting_tenants[tenant] = None
@@ -62,14 +69,14 @@
     def report(
         self, tenant: Tenant, now_ms: float, *, reserved_units: float = 0.0, is_forced: bool = False
     ) -> None:
-        """Report usage where it is due: in batches that shrink as a tenant nears its limit.
+        """Report usage if it is due, in batches that become smaller as the tenant approaches its limit.
 
         Args:
-            tenant: Whose usage.
-            now_ms: The time now.
-            reserved_units: Units of a request that waits: queried and reported in one call, and taken back if
-                it is rejected.
-            is_forced: Whether to report however little there is.
+            tenant: Tenant whose usage is reported.
+            now_ms: The current time, in milliseconds.
+            reserved_units: Units of a request that waits. The same call reports them and queries the counter
+                value; they are taken back if the request is rejected.
+            is_forced: Whether to report even usage that is not due yet.
         """
         report = tenant.report
         usage = tenant.quota.local_usage - report.reported_usage + reserved_units
@@ -81,7 +88,7 @@
 
     @staticmethod
     def _is_report_due(tenant: Tenant, usage: float, now_ms: float) -> bool:
-        """Whether all gateways together may have used up what is left, if each has used as much."""
+        """Return whether the remaining units would be used up if each gateway had as much to report."""
         if not usage:
             return False
         fleet_usage = usage * tenant.quota.gateway_count
@@ -95,10 +102,11 @@
         self._actions.append(IncrementCounter(count_name, amount, ttl_ms))
 
     def record_reply(self, reply: CounterReply, now_ms: float) -> Tenant | None:
-        """Take in the end of a call.
+        """Record the end of a counter call.
 
         Returns:
-            The tenant whose waiting requests can now be decided on, if any.
+            The tenant of the call, whose waiting requests can now be decided on; None for an outdated reply,
+            or while a further call is made for them.
         """
         self._health.record_reply(reply.result, now_ms)
         tenant = self._tenants_by_count.get(reply.name)
@@ -120,7 +128,7 @@
 
     @staticmethod
     def _is_first_report_of_window(tenant: Tenant, counter_value: float) -> bool:
-        """Whether this gateway is the first one that reports in this window."""
+        """Return whether this gateway is the first to report in the current window."""
         amount = tenant.report.amount_in_call
         return (
             tenant.quota.is_counter_value_unknown
@@ -129,7 +137,11 @@
         )
 
     def _query_previous_window(self, tenant: Tenant, now_ms: float) -> bool:
-        """Query the total of the last window as the first gateway in this one; False if not worth a call."""
+        """Query the counter value of the last window, as the first gateway that reports in the current one.
+
+        Returns:
+            Whether a call was made: not if half of the maximum debt has been refilled, or if throttled.
+        """
         plan = tenant.plan
         refill = plan.quota_rate * (now_ms - tenant.quota.window_started_at_ms) / 1000
         if 2 * refill >= plan.quota_burst or not self._health.may_call(now_ms):
@@ -144,19 +156,35 @@
             self.report(tenant, now_ms, is_forced=True)
 
     def take_waiting_requests(self, tenant: Tenant) -> list[PendingRequest]:
-        """Return the requests of a tenant that wait for a total and whose clients have not gone."""
+        """Remove and return the waiting requests of a tenant whose clients are still connected."""
         self._waiting_tenants.pop(tenant, None)
         return [p for p in tenant.report.take_waiting_requests() if self.stop_waiting(p.request_id)]
 
     def abandon_overdue_calls(self, timeout_ms: float, now_ms: float) -> list[Tenant]:
-        """Return the tenants whose requests wait for a reply that does not come, and give up their calls."""
+        """Abandon the calls that requests have waited for longer than a timeout.
+
+        Args:
+            timeout_ms: Maximum time since the call, in milliseconds.
+            now_ms: The current time, in milliseconds.
+
+        Returns:
+            The tenants of these calls, whose requests can be decided on without a reply.
+        """
         overdue = [t for t in self._waiting_tenants if now_ms - t.report.last_call_at_ms > timeout_ms]
         for tenant in overdue:
             tenant.report.is_call_in_flight = False
         return overdue
 
     def start_window(self, tenant: Tenant, window: int, started_at_ms: float) -> None:
-        """Start a quota window of a tenant; unreported usage of the window just before is charged to it."""
+        """Start a quota window of a tenant.
+
+        Unreported usage of the window just before is charged to it if the counter responds reliably.
+
+        Args:
+            tenant: The tenant.
+            window: Number of the window.
+            started_at_ms: When it began, in milliseconds.
+        """
         is_next = window == tenant.quota.window + 1
         carries_over = self._health.is_reliable and is_next
         unreported_usage = tenant.report.unreported_usage if carries_over else 0.0
@@ -164,6 +192,6 @@
         tenant.report.start_window(window)
 
     def forget_calls(self, tenant: Tenant) -> None:
-        """Forget the calls of a tenant's windows."""
+        """Ignore further replies to the calls of a tenant's current and last window."""
         self._tenants_by_count.pop(tenant.report.count_name, None)
         self._tenants_by_count.pop(tenant.report.previous_count_name, None)
--- a/tests/support/fleet_simulation.py
+++ b/tests/support/fleet_simulation.py
@@ -1,6 +1,6 @@
-"""Simulation of a whole fleet of gateways: what all of them together send to each endpoint.
+"""Simulation of a fleet of gateways, which records the attempts that each endpoint receives.
 
-The latency of an endpoint does not depend on its load, so only the gateways' own limits protect it.
+The latency of an endpoint does not depend on its load, so that only the limits of the gateways protect it.
 """
 
 from __future__ import annotations
@@ -19,19 +19,19 @@
 from support.event_simulation import EventSimulation
 from support.gateway_driver import OPEN_PLAN, READ_CLASS, settings
 
-CAPACITY_PER_S = 25.0  # requests a second that a warm endpoint serves
+CAPACITY_PER_S = 25.0  # Requests per second that a warm endpoint can serve.
 SLOW_START_MIN_WEIGHT = 0.2
 OVERLOAD_WINDOW_S = 2.0
 IDLE_CONNECTION_TIMEOUT_S = 30.0
 MEAN_LATENCY_MS = 60.0
-INTEGRATION_STEPS = 20  # over one overload window
+INTEGRATION_STEPS = 20  # Steps per overload window.
 
 
 class FleetSimulation(EventSimulation):
     """Gateways that share endpoints.
 
     Attributes:
-        requests_per_s: Requests a second for each endpoint.
+        requests_per_s: Requests per second and endpoint.
         endpoints: Current endpoints by name.
         sent_at_ms: Simulated times of the attempts to each endpoint, in milliseconds.
     """
@@ -52,11 +52,11 @@
         Args:
             gateways: Number of gateways.
             endpoints: Number of endpoints.
-            requests_per_s: Requests a second for each endpoint.
+            requests_per_s: Requests per second and endpoint.
             overload_multiple: Multiple of its capacity beyond which an endpoint is overloaded.
             slow_start_s: Duration of the slow start, in seconds.
-            traffic_share_shape: Shape of the gamma distribution of the gateways' shares of the traffic; the
-                smaller, the less even. 0 for equal shares.
+            traffic_share_shape: Shape of the gamma distribution of the gateways' shares of the traffic.
+                Smaller values are less even; 0 stands for equal shares.
             seed: Seed of all random draws.
         """
         super().__init__(random.Random(seed), 1e9)
@@ -86,14 +86,14 @@
             self.restart_gateway(index)
 
     def restart_gateway(self, index: int) -> None:
-        """Replace a gateway by a new one that knows the full endpoint list."""
+        """Replace a gateway with a new one, which gets the full endpoint list."""
         own_settings = dataclasses.replace(self._settings, gateway_index=index)
         self._gateways[index] = Gateway(own_settings, self._seed * 1000 + index + self.serial)
         self._discard_events(index)
         self._deliver(index, EndpointUpdate(UpdateKind.CACHED, tuple(self.endpoints.values())))
 
     def replace_endpoints(self, names: list[str]) -> list[str]:
-        """Remove endpoints and add as many new ones, known to all gateways at once.
+        """Remove endpoints and add as many new ones; all gateways are notified immediately.
 
         Args:
             names: Endpoints to remove.
@@ -115,19 +115,19 @@
         return added
 
     def run(self, seconds: float) -> None:
-        """Run the open-loop load for simulated seconds."""
+        """Run the open-loop load for some simulated seconds."""
         requests_per_ms = self.requests_per_s * len(self.endpoints) / 1000
         self._run_open_loop(seconds, requests_per_ms, self._send_request)
 
     def overloaded_endpoints(self) -> list[str]:
-        """Return the endpoints that got too many requests in one window of their slow start.
+        """Return the endpoints that received too many requests in any overload window of their slow start.
 
-        With N requests allowed, too many are more than N + 2 * sqrt(N) + 2.
+        Where N requests are allowed, more than N + 2 * sqrt(N) + 2 are too many.
         """
         return [name for name in self.endpoints if self._was_overloaded(name)]
 
     def received_per_s(self, since_ms: float, until_ms: float) -> dict[str, float]:
-        """Return the requests a second that each endpoint got between two simulated times."""
+        """Return the requests per second that each endpoint received between two simulated times."""
         rates = {}
         for name in self.endpoints:
             sent_at_ms = self.sent_at_ms[name]
@@ -159,12 +159,12 @@
     def _was_overloaded(self, name: str) -> bool:
         started_at_ms = self.endpoints[name].started_at_ms
         if not started_at_ms:
-            return False  # warm from the start
+            return False  # Warm from the start.
         sent_at_ms = self.sent_at_ms[name]
         for position, window_start_ms in enumerate(sent_at_ms):
             window_end_ms = window_start_ms + 1000 * OVERLOAD_WINDOW_S
             if window_end_ms >= started_at_ms + 1000 * self._slow_start_s:
-                return False  # the slow start is over by the end of the window
+                return False  # The slow start ends within the window.
             allowed = self._allowed_requests(started_at_ms, window_start_ms)
             received = bisect_left(sent_at_ms, window_end_ms) - position
             if received > allowed + 2 * allowed**0.5 + 2:
@@ -172,7 +172,7 @@
         return False
 
     def _allowed_requests(self, started_at_ms: float, window_start_ms: float) -> float:
-        """Requests that the settings allow an endpoint in a window, integrated over its slow start."""
+        """Return the number of requests that the settings allow an endpoint in a window of its slow start."""
         window_ms = 1000 * OVERLOAD_WINDOW_S
         weights = 0.0
         for step in range(INTEGRATION_STEPS):
@@ -183,5 +183,5 @@
 
 
 def _endpoint(name: str, started_at_ms: float) -> Endpoint:
-    zone = "ab"[sum(name.encode()) % 2]  # the same in every run, unlike hash()
+    zone = "ab"[sum(name.encode()) % 2]  # Unlike hash(), the same in every run.
     return Endpoint(name, zone, 0, EndpointStatus.UP, 1.0, started_at_ms)
--- a/tests/support/quota_simulation.py
+++ b/tests/support/quota_simulation.py
@@ -1,4 +1,4 @@
-"""Simulation of a fleet's quotas: what many gateways forward, against each tenant's exact token bucket."""
+"""Simulation of a fleet's quotas, which are compared with an exact token bucket for each tenant."""
 
 from __future__ import annotations
 
@@ -24,24 +24,24 @@
 ENDPOINTS = 8
 LATENCY_MS = 50.0
 COUNTER_LATENCY_MS = 2.0
-REQUEST_UNITS = (1, 2, 3)  # equally frequent
+REQUEST_UNITS = (1, 2, 3)  # Each is equally frequent.
 
 
 class SimulatedCounter:
-    """The shared counter, which rejects some of its calls."""
+    """The counter service that all gateways share; it rejects some of its calls."""
 
     def __init__(self, rng: random.Random, rejected_fraction: float) -> None:
-        """Initialize the counter without any total.
+        """Initialize the counter without any counts.
 
         Args:
-            rng: Decides which calls are rejected.
-            rejected_fraction: Part of the calls to reject, from 0 to 1.
+            rng: Source of the draws that decide which calls are rejected.
+            rejected_fraction: Fraction of the calls to reject, from 0 to 1.
         """
         self._rng, self._rejected_fraction = rng, rejected_fraction
         self._counts: dict[str, float] = {}
 
     def increment(self, action: IncrementCounter) -> CounterReply:
-        """Add to a total, unless the call is rejected, and return the reply."""
+        """Add to a count, unless the call is rejected, and return the reply."""
         if self._rng.random() < self._rejected_fraction:
             return CounterReply(action.name, CounterResult.OVERLOADED, 0, COUNTER_LATENCY_MS)
         counter_value = self._counts.get(action.name, 0.0) + action.amount
@@ -51,13 +51,13 @@
 
 @dataclasses.dataclass
 class TokenBucket:
-    """A tenant's exact token bucket, full at first, in units.
+    """A tenant's exact token bucket, which is full at the start.
 
     Attributes:
-        capacity: Most units that it holds.
-        tokens: Units that it holds.
-        units_within_quota: Units taken that it held.
-        units_over_quota: Units forwarded that it did not hold.
+        capacity: Maximum number of units in the bucket.
+        tokens: Units in the bucket.
+        units_within_quota: Units of forwarded requests that the bucket covered.
+        units_over_quota: Units of forwarded requests that it did not cover.
     """
 
     capacity: float
@@ -69,11 +69,11 @@
         self.tokens = self.capacity
 
     def refill(self, units: float) -> None:
-        """Add units up to the capacity."""
+        """Add units, up to the capacity."""
         self.tokens = min(self.capacity, self.tokens + units)
 
     def take(self, units: float) -> None:
-        """Account a forwarded request."""
+        """Account for a forwarded request."""
         if self.tokens >= units:
             self.tokens -= units
             self.units_within_quota += units
@@ -85,9 +85,9 @@
     """Gateways, the shared counter and each tenant's exact token bucket.
 
     Attributes:
-        requests: Requests so far.
-        rejected_within_quota: Requests rejected although the token bucket was half full and held their
-            units.
+        requests: Number of requests so far.
+        rejected_within_quota: Number of requests rejected although their token bucket was at least half full
+            and covered their units.
     """
 
     def __init__(
@@ -108,8 +108,8 @@
             fleet_size: Number of gateways.
             gateways_per_tenant: Number of gateways that each tenant's requests go to.
             load_factors: Requested units of each tenant, as a multiple of its quota.
-            first_gateway_share: Part of each tenant's requests that go to its first gateway; the others go
-                to any of its gateways.
+            first_gateway_share: Share of each tenant's requests that go to its first gateway, from 0 to 1.
+                Each other request goes to a random one of its gateways.
         """
         super().__init__(random.Random(seed), 1e6 + 1e4 * seed)
         self.requests = 0
@@ -126,15 +126,15 @@
         self._gateways = [Gateway(common_settings, 1000 * seed + index) for index in range(fleet_size)]
         self._counter = SimulatedCounter(self.rng, rejected_fraction=0.0)
         self._buckets = [TokenBucket(plan.quota_burst) for _ in load_factors]
-        self._refilled_at_ms = [self.now_ms] * len(load_factors)  # by tenant
-        self._first_gateway = [self.rng.randrange(fleet_size) for _ in load_factors]  # by tenant
-        self._pending: dict[str, tuple[int, float]] = {}  # by request id: tenant and units
+        self._refilled_at_ms = [self.now_ms] * len(load_factors)  # By tenant.
+        self._first_gateway = [self.rng.randrange(fleet_size) for _ in load_factors]  # By tenant.
+        self._pending: dict[str, tuple[int, float]] = {}  # Tenant and units by request id.
         update = EndpointUpdate(UpdateKind.CACHED, tuple(endpoint(i) for i in range(ENDPOINTS)))
         for index in range(fleet_size):
             self._deliver(index, update)
 
     def run(self, seconds: float) -> QuotaSimulation:
-        """Run the open-loop load of all tenants for simulated seconds, and return the simulation itself."""
+        """Run the open-loop load of all tenants for some simulated seconds, and return this simulation."""
         mean_units = sum(REQUEST_UNITS) / len(REQUEST_UNITS)
         requests_per_ms = [
             load_factor * self._plan.quota_rate / mean_units / 1000 for load_factor in self._load_factors
@@ -149,17 +149,17 @@
 
     @property
     def units_within_quota(self) -> float:
-        """Units forwarded within the quotas."""
+        """Units of forwarded requests within the quotas."""
         return sum(bucket.units_within_quota for bucket in self._buckets)
 
     @property
     def units_over_quota(self) -> float:
-        """Units forwarded over the quotas."""
+        """Units of forwarded requests beyond the quotas."""
         return sum(bucket.units_over_quota for bucket in self._buckets)
 
     @property
     def units_allowed(self) -> float:
-        """Units that the quotas allow of what was requested on average."""
+        """Units that the quotas allow, given the mean number of units requested."""
         elapsed_s = (self.now_ms - self.started_at_ms) / 1000
         rate, burst = self._plan.quota_rate, self._plan.quota_burst
         return sum(
@@ -218,7 +218,7 @@
         self.rejected_within_quota += tokens >= max(self._plan.quota_burst / 2, units)
 
     def _refilled_bucket(self, tenant: int) -> TokenBucket:
-        """The token bucket of a tenant, as it is now."""
+        """Return the token bucket of a tenant, refilled up to now."""
         elapsed_s = (self.now_ms - self._refilled_at_ms[tenant]) / 1000
         self._refilled_at_ms[tenant] = self.now_ms
         bucket = self._buckets[tenant]
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -26,7 +26,14 @@
 def fraction_under_steady_load(
     driver: GatewayDriver, durations_ms: list[float], in_flight: int, rounds: int = 120
 ) -> float:
-    """Return the fraction after `in_flight` requests at a time, each answered after `durations_ms` of 1 s."""
+    """Return the admitted fraction after a steady load.
+
+    Args:
+        driver: The gateway.
+        durations_ms: Latencies of the responses in turn, in milliseconds; the objective is 1000 ms.
+        in_flight: Number of requests in flight at a time.
+        rounds: Number of responses.
+    """
     in_flight_ids = [driver.send_request()[0] for _ in range(in_flight)]
     for n in range(rounds):
         driver.sweep(1)
@@ -46,7 +53,7 @@
 
 
 def driver_with_learned_baseline(endpoints: int) -> GatewayDriver:
-    """A gateway that knows the latency of idle endpoints."""
+    """Return the driver of a gateway that has learned the latency of idle endpoints."""
     driver = GatewayDriver(endpoints=endpoints)
     fraction_under_steady_load(driver, [60.0], 2, rounds=40)
     return driver
@@ -90,18 +97,23 @@
         admitted_fraction(mid_occupancy) == 0.5 and admitted_fraction(mid_occupancy, MAX_RAMP_OFFSET) == 1.0
     )
     assert admitted_fraction(1.0, MAX_RAMP_OFFSET) == MIN_ADMITTED_FRACTION, (
-        "a full back end is shed for whatever the offset"
+        "load is shed at full occupancy whatever the offset is"
     )
 
 
 def test_random_queues_on_many_endpoints_shed_nothing_but_overload_does() -> None:
+    """A gateway with few attempts on many endpoints must not shed load for queues that other gateways cause.
+
+    Shedding does not shorten queues that form because gateways select endpoints without seeing each other's
+    attempts.
+    """
     assert fraction_under_steady_load(driver_with_learned_baseline(60), [420.0], 2) > 0.95
-    assert fraction_under_steady_load(GatewayDriver(endpoints=60), [420.0], 2) > 0.95, "from the start"
+    assert fraction_under_steady_load(GatewayDriver(endpoints=60), [420.0], 2) > 0.95, "no learned baseline"
     assert fraction_under_steady_load(driver_with_learned_baseline(2), [420.0], 2) < 0.9, (
-        "the same latency where the gateway sees their load"
+        "the same latency, but the gateway sees most of the load"
     )
     assert fraction_under_steady_load(driver_with_learned_baseline(60), [900.0], 2) < 0.6
-    assert fraction_under_steady_load(GatewayDriver(endpoints=60), [900.0], 2) < 0.6, "from the start"
+    assert fraction_under_steady_load(GatewayDriver(endpoints=60), [900.0], 2) < 0.6, "no learned baseline"
 
 
 def test_one_slow_response_among_fast_ones_sheds_nothing() -> None:
--- a/tests/test_ceiling.py
+++ b/tests/test_ceiling.py
@@ -1,4 +1,4 @@
-"""The hard ceiling over all gateways together."""
+"""The ceiling, which all gateways together must never exceed."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_all_gateways_together_never_exceed_the_ceiling(seed: int) -> None:
-    """Any order of late, lost and wrong totals, with restarts: the bucket never falls below 0."""
+    """The bucket must never fall below 0, whatever the counter replies and whenever gateways restart."""
     rng = random.Random(seed)
     plan = settings().plans[1]
     now_ms, tokens, taken_at_ms, sent = 5e5, plan.ceiling_burst, 5e5, 0
--- a/tests/test_counter_health.py
+++ b/tests/test_counter_health.py
@@ -1,4 +1,4 @@
-"""How many counter calls are made while they go unanswered."""
+"""How many counter calls are made while they get no response."""
 
 from __future__ import annotations
 
@@ -33,12 +33,14 @@
         return call_count
 
     assert count_calls(CounterResult.OK) == 60
+    # A few calls that were lost with one connection say nothing about the counter.
     assert (
         count_calls(CounterResult.CONNECTION_LOST, counter_health.MAX_CONSECUTIVE_LOST_CONNECTIONS)
         == counter_health.MAX_CONSECUTIVE_LOST_CONNECTIONS
-    )  # one connection's end
+    )
     assert driver.gateway.counter_health.response_fraction == 1.0
-    assert count_calls(CounterResult.CONNECTION_LOST) < 15  # nothing else comes: it is gone
+    # With no response between the lost connections, the counter counts as unreachable.
+    assert count_calls(CounterResult.CONNECTION_LOST) < 15
     count_calls(CounterResult.OK, 300)
     assert count_calls(CounterResult.OVERLOADED) < 15
     count_calls(CounterResult.OK, 300)
@@ -50,7 +52,7 @@
     _, actions = driver.send_request(plan="basic", tenant="k", units=2)
     (call,) = actions_of_type(actions, IncrementCounter)
     actions = driver.deliver(CounterReply(call.name, CounterResult.MALFORMED_RESPONSE, 0.0))
-    assert actions_of_type(actions, StartAttempt)  # decided at once
+    assert actions_of_type(actions, StartAttempt)  # Decided without a further call.
     tenant = driver.gateway.tenants["k", "basic"]
     assert driver.gateway.counter_health.response_fraction == 1.0
     assert tenant.report.reported_usage == 2 and not tenant.report.is_call_in_flight
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -1,7 +1,7 @@
-"""Behaviour that must hold in any deployment, in simulation.
+"""Simulations of behaviour that must hold in any deployment.
 
-Service times lie near to and far from the latency objectives, and small token buckets are shared by many
-gateways.
+They cover service times near to and far from the latency objective, and small token buckets that many
+gateways share.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 SEEDS = (1, 2, 3)
 SHORT_OBJECTIVE = RequestClass("short", latency_objective_ms=100, deadline_ms=400, priority_weight=5)
 LONG_OBJECTIVE = RequestClass("long", latency_objective_ms=2000, deadline_ms=8000, priority_weight=1)
-QUEUEING_ENDPOINTS = {"endpoints": 6, "cores": 2, "gateways": 4}  # 12 cores
+QUEUEING_ENDPOINTS = {"endpoints": 6, "cores": 2, "gateways": 4}  # 12 cores.
 # Requested units of each tenant, as a multiple of its quota.
 TENANT_LOAD_FACTORS = (0.3, 0.3, 0.3, 0.3, 0.2, 0.4, 0.4, 0.5, 0.9, 0.95, 3.0) * 4
 
@@ -31,10 +31,10 @@
     """Create the load of one class.
 
     Args:
-        service_time_ratio: Mean service time over the latency objective.
-        requests_per_s: Requests a second to each gateway.
-        distribution: Distribution of the service time.
-        time_scale: Multiple of the objective of 1 s and the deadline of 4 s.
+        service_time_ratio: Ratio of the mean service time to the latency objective.
+        requests_per_s: Requests per second to each gateway.
+        distribution: Distribution of the service times.
+        time_scale: Factor on the objective of 1 s and on the deadline of 4 s.
     """
     request_class = RequestClass(
         "read", latency_objective_ms=1000 * time_scale, deadline_ms=4000 * time_scale, priority_weight=3
@@ -43,7 +43,7 @@
 
 
 def rejected_fraction_without_queueing(load: Load, seconds: float = 30.0) -> float:
-    """Return the rejected share at a gateway before 60 endpoints where no request ever queues."""
+    """Return the fraction of requests rejected by a gateway with 60 endpoints, on which no request queues."""
     name = load.request_class.name
     counts = [EndpointSimulation([load], seed=seed).run(seconds).counts[name] for seed in SEEDS]
     return sum(count.rejected for count in counts) / sum(count.received for count in counts)
@@ -95,20 +95,23 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_overload_rejects_by_weight_per_service_time_and_serves_some_of_each_class(seed: int) -> None:
-    loads = [Load(SHORT_OBJECTIVE, 45, 20), Load(LONG_OBJECTIVE, 100, 20)]  # 0.97 of the cores' capacity
+    loads = [
+        Load(SHORT_OBJECTIVE, 45, 20),
+        Load(LONG_OBJECTIVE, 100, 20),
+    ]  # 0.97 of the capacity of the cores.
     simulation = EndpointSimulation(loads, seed=seed, **QUEUEING_ENDPOINTS).run(5, load_factor=0.4)
     simulation.reset_counts()
     counts = simulation.run(20, load_factor=1.5).counts
     assert counts["short"].rejected_fraction < counts["long"].rejected_fraction, (
-        "more weight, less service time"
+        "more weight and a shorter service time"
     )
-    assert counts["long"].served_fraction > 0.25, "half of the served share that is aimed at"
+    assert counts["long"].served_fraction > 0.25, "half of the intended fraction"
     assert counts["short"].served_fraction > 0.25
 
 
 @pytest.mark.parametrize("service_time_ratio", [0.05, 0.1, 0.2, 0.3, 0.5])
 def test_overload_is_detected_at_any_service_time(service_time_ratio: float) -> None:
-    load = single_class_load(service_time_ratio, 3 / service_time_ratio)  # the full capacity of the cores
+    load = single_class_load(service_time_ratio, 3 / service_time_ratio)  # The full capacity of the cores.
     simulation = EndpointSimulation([load], seed=1, **QUEUEING_ENDPOINTS)
     simulation.run(5, load_factor=0.4).run(13, load_factor=2)
     assert simulation.offered_utilization(8000) < 1.2, "from 3 s after the start of the overload"
@@ -116,7 +119,10 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_small_token_buckets_over_many_gateways_are_not_rejected_within_quota(seed: int) -> None:
-    """The counter rejects nothing, and each tenant's bucket of 9 units is shared by 58 of 60 gateways."""
+    """58 of 60 gateways share each tenant's bucket of 9 units: an even split is less than one request.
+
+    The counter rejects no calls.
+    """
     plan = Plan("team", quota_rate=0.83, quota_burst=9, over_quota_cost=1.0)
     simulation = QuotaSimulation(
         seed, plan, fleet_size=60, gateways_per_tenant=58, load_factors=TENANT_LOAD_FACTORS
--- a/tests/test_fleet_quota.py
+++ b/tests/test_fleet_quota.py
@@ -1,4 +1,4 @@
-"""Quotas of a whole fleet of 200 gateways, against exact token buckets, with few rejected counter calls."""
+"""Quotas of a fleet of 200 gateways compared with exact token buckets; the counter rejects some calls."""
 
 from __future__ import annotations
 
@@ -18,15 +18,24 @@
 
 FLEET_SIZE = 200
 PLAN = Plan("team", quota_rate=5, quota_burst=20, over_quota_cost=1.0)
-REJECTED_CALL_FRACTION = 0.15  # part of the calls
-LOAD_FACTORS = (0.2, 0.3, 0.3, 0.4, 0.5, 0.5, 0.9, 4.0)  # requested units of each tenant over its quota
+REJECTED_CALL_FRACTION = 0.15  # Fraction of the counter calls that is rejected.
+LOAD_FACTORS = (
+    0.2,
+    0.3,
+    0.3,
+    0.4,
+    0.5,
+    0.5,
+    0.9,
+    4.0,
+)  # Requested units of each tenant as a multiple of its quota.
 SWEEP_INTERVAL_MS = 100.0
 START_MS = 1e6
 DURATION_S = 30
 
 
 class Arrival(NamedTuple):
-    """A request to come, in milliseconds after the start."""
+    """Arrival of a request, in milliseconds after the start of the simulation."""
 
     at_ms: float
     tenant: int
@@ -41,7 +50,7 @@
     def __init__(self, seed: int) -> None:
         self._rng = random.Random(seed)
         self._counter = SimulatedCounter(self._rng, REJECTED_CALL_FRACTION)
-        self._pending: dict[str, tuple[int, float]] = {}  # by request id: tenant and units
+        self._pending: dict[str, tuple[int, float]] = {}  # Tenant and units by request id.
         self.buckets = [TokenBucket(PLAN.quota_burst) for _ in LOAD_FACTORS]
         fleet_settings = settings(plans=(PLAN,), fleet_size=FLEET_SIZE, counter_timeout_ms=240.0)
         self._gateways = [Gateway(fleet_settings, index) for index in range(FLEET_SIZE)]
@@ -95,7 +104,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_fleet_forwards_little_over_quota_and_most_within_quota(seed: int) -> None:
-    """The cost of the units over quota is less than 0.1 of the value of those within."""
+    """The cost of the units over quota must be less than 0.1 of the value of all units allowed."""
     simulation = ImmediateQuotaSimulation(seed)
     simulation.run(DURATION_S)
     units_allowed = (
--- a/tests/test_latency.py
+++ b/tests/test_latency.py
@@ -1,4 +1,4 @@
-"""How long clients wait, learned from their requests."""
+"""Estimates of client timeouts, and of the time spent on earlier requests."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
     driver = GatewayDriver()
     for _ in range(50):
         driver.end_attempt(driver.send_request(time_left_ms=3900, after_ms=10)[0])
-    assert actions_of_type(
-        driver.send_request(time_left_ms=2500)[1], RejectRequest
-    )  # 1500 ms were spent, the objective was 1000
-    attempt = actions_of_type(driver.send_request(time_left_ms=3500)[1], StartAttempt)[0]  # 500 ms were spent
+    # 1500 ms of the timeout of 4000 ms were spent on earlier requests; the objective is 1000 ms.
+    assert actions_of_type(driver.send_request(time_left_ms=2500)[1], RejectRequest)
+    # 500 ms were spent.
+    attempt = actions_of_type(driver.send_request(time_left_ms=3500)[1], StartAttempt)[0]
     assert attempt.timeout_ms <= 500
 
 
--- a/tests/test_load_sampling.py
+++ b/tests/test_load_sampling.py
@@ -1,4 +1,4 @@
-"""Which ends of attempts are samples of the load."""
+"""Which attempt results are samples of the load."""
 
 from __future__ import annotations
 
@@ -20,7 +20,8 @@
 
 def test_occupancy_moves_towards_the_mean_by_the_weight_of_its_samples() -> None:
     driver = GatewayDriver()
-    driver.gateway.admission.occupancy.sample_count = 100  # a fresh gateway's q is the plain mean
+    # The first samples of a gateway are averaged without smoothing.
+    driver.gateway.admission.occupancy.sample_count = 100
     driver.gateway.admission.occupancy.classes["read"].learned_baseline = 0.1
     weight = min(occupancy.MAX_INTERVAL_WEIGHT, 2 / occupancy.SMOOTHING_SAMPLES)
     for _ in range(2):
@@ -31,16 +32,16 @@
     assert driver.gateway.admission.occupancy.smoothed == pytest.approx(weight * 0.5)
     request_id, _ = driver.send_request()
     driver.sweep()
-    assert driver.gateway.admission.occupancy.smoothed == pytest.approx(
-        weight * 0.5
-    )  # no sample, one attempt in flight: it stays
+    # Without a sample it stays the same while an attempt is in flight.
+    assert driver.gateway.admission.occupancy.smoothed == pytest.approx(weight * 0.5)
 
 
 def test_a_single_gateway_notices_the_end_of_an_overload() -> None:
+    """A gateway that sheds most requests gets few samples, and must not keep shedding for lack of them."""
     driver = GatewayDriver()
     driver.gateway.admission.occupancy.smoothed = 1.0
     served = 0
-    for _ in range(20):  # two requests a second, answered fast
+    for _ in range(20):  # Two requests per second with fast responses.
         request_id, actions = driver.send_request(after_ms=0)
         if actions_of_type(actions, StartAttempt):
             driver.end_attempt(request_id, duration_ms=50, after_ms=50)
@@ -50,12 +51,12 @@
 
 
 def test_a_fresh_gateway_sees_an_overload_in_its_attempts_in_flight() -> None:
+    """A gateway that starts during an overload has no responses to show it for as long as the timeout."""
     driver = GatewayDriver()
     request_ids = [driver.send_request(after_ms=20)[0] for _ in range(8)]
     driver.sweep(6)
-    assert (
-        driver.gateway.admission.admitted_fraction < 0.1
-    )  # nothing is answered, and much has taken long already
+    # There is no response yet, and most attempts are overdue.
+    assert driver.gateway.admission.admitted_fraction < 0.1
     for request_id in request_ids:
         driver.end_attempt(request_id, duration_ms=60)
     driver.sweep()
@@ -63,6 +64,7 @@
 
 
 def test_attempts_during_a_stall_of_the_gateway_are_no_samples() -> None:
+    """A stall of the gateway's own process makes its attempts look slow, which must not shed load."""
     driver = GatewayDriver()
     request_id, _ = driver.send_request()
     driver.end_attempt(request_id, duration_ms=5000, after_ms=5000)
@@ -74,6 +76,7 @@
 
 
 def test_one_slow_endpoint_sheds_nothing() -> None:
+    """The timeouts of one slow endpoint must not shed load while all others are fast."""
     driver = GatewayDriver(endpoints=6)
     driver.gateway.endpoints["h0"].latency_ratio = 10.0
     slow_request_id = None
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -1,4 +1,4 @@
-"""What a gateway takes to be left of a quota."""
+"""A gateway's estimate of the remaining quota."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def remaining_after_first_counter_value(counter_value: float) -> float:
-    """What a gateway takes to be left (of 6, 2 a second) at the first total, 5 s into a window of 6."""
+    """Return the estimate at the first counter value, 5 s into a window of 6 s (burst 6, 2 units per s)."""
     driver = GatewayDriver(endpoints=60, fleet_size=40, now_ms=1e6)
     driver.sweep(80)
     tenant = driver.gateway.request_flow._find_tenant(
@@ -41,15 +41,14 @@
 def test_quota_of_a_single_gateway_is_the_burst_and_then_the_rate() -> None:
     driver = GatewayDriver()
     assert send_requests(driver, 20, plan="basic") == 6
-    driver.now_ms += 2000  # two seconds refill four units
+    driver.now_ms += 2000  # 2 s refill four units.
     assert send_requests(driver, 20, plan="basic") == 4
 
 
 def test_quota_counts_usage_of_other_gateways() -> None:
     driver = GatewayDriver()
-    assert (
-        3 <= send_requests(driver, 12, peer_usage=1.0, plan="basic") <= 4
-    )  # the others use about every second unit
+    # The others use about half of the units.
+    assert 3 <= send_requests(driver, 12, peer_usage=1.0, plan="basic") <= 4
 
 
 def test_without_a_counter_a_gateway_keeps_to_an_even_split() -> None:
@@ -66,7 +65,10 @@
 
 @pytest.mark.parametrize("age_s", [2, 30])
 def test_even_splits_below_one_unit_add_up_over_the_fleet(age_s: int) -> None:
-    """300 gateways, no counter, one tenant: their second requests add up to the split, whatever its size."""
+    """Without a counter, an even split over many gateways is less than one request at each of them.
+
+    All gateways together must still stay near the quota: 300 gateways get three requests of one tenant each.
+    """
     sent = 0
     for i in range(300):
         driver = GatewayDriver(seed=i, gateway_index=i, fleet_size=300, counter_enabled=False)
@@ -75,9 +77,8 @@
         for _ in range(3):
             _, actions = driver.send_request(plan="basic", gateway_count=300)
             sent += len(actions_of_type(actions, StartAttempt))
-    later_requests = (
-        sent - 300
-    )  # the first one of each gateway is admitted: most tenants are far from their quota
+    # The first request at each gateway is always admitted, since most tenants are far from their quota.
+    later_requests = sent - 300
     assert (
         later_requests
         <= 2 * quota.ESTIMATE_HEADROOM * min(BASIC_PLAN.quota_burst, BASIC_PLAN.quota_rate * age_s) + 3
@@ -87,16 +88,14 @@
 def test_a_counter_that_restarts_empty_does_not_refill_the_quota() -> None:
     driver = GatewayDriver()
     assert send_requests(driver, 20, reset_counter_at=3, plan="basic") == 6
-    assert (
-        driver.gateway.tenants["c", "basic"].quota.peer_usage_rate >= 0
-    )  # a total that falls is no usage given back by other gateways
+    # A counter value that falls does not mean that other gateways have given back units.
+    assert driver.gateway.tenants["c", "basic"].quota.peer_usage_rate >= 0
 
 
 def test_usage_beyond_the_quota_is_not_charged_permanently() -> None:
     driver = GatewayDriver()
-    send_requests(
-        driver, 8, peer_usage=5.0, plan="basic"
-    )  # other gateways went far beyond the quota, at no cost to it
+    # The other gateways go far beyond the quota.
+    send_requests(driver, 8, peer_usage=5.0, plan="basic")
     driver.now_ms += 1000
     send_requests(driver, 1, plan="basic")
     driver.now_ms += 1000
@@ -116,20 +115,22 @@
     assert any(isinstance(a, StartAttempt) for a in send_request_with_counter_values(driver, 1, 3))
     tenant = next(iter(driver.gateway.tenants.values()))
     assert tenant.quota.peer_usage_rate * 1000 <= 2.0, (
-        "two units of the others in a window that is not that new"
+        "two units of the others in a window that began seconds ago"
     )
     length_ms = window_length_ms(tenant.plan)
-    next_window_ms = (tenant.quota.window + 1 - tenant._window_phase) * length_ms  # of the next window
+    next_window_ms = (tenant.quota.window + 1 - tenant._window_phase) * length_ms
     actions = send_request_with_counter_values(
         driver, 1, 1, after_ms=next_window_ms + 50 - driver.now_ms, previous_counter_value=3
     )
-    assert any(isinstance(a, StartAttempt) for a in actions), "3 of 6 units used: its bucket is not empty"
+    assert any(isinstance(a, StartAttempt) for a in actions), (
+        "3 of 6 units were used: the bucket is not empty"
+    )
 
 
 def test_remaining_quota_follows_from_the_first_counter_value() -> None:
-    """The total holds what was owed at the window's start: 6 + 2 x 5 s less that is left, 6 at most."""
+    """The counter value includes the debt of earlier windows: 6 + 2 * 5 - counter value remain, at most 6."""
     assert remaining_after_first_counter_value(7) == pytest.approx(5.0), (
-        "7 units in 5 s at 2 a second: it has refilled, but for ours"
+        "7 units in 5 s at 2 per second: the bucket is full but for our unit"
     )
     assert remaining_after_first_counter_value(13) == pytest.approx(3.0, abs=0.1)
-    assert remaining_after_first_counter_value(17) < 1, "what refilled is gone"
+    assert remaining_after_first_counter_value(17) < 1, "all of the refill was used"
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -1,4 +1,4 @@
-"""Which tenants are known, and when they are forgotten."""
+"""How many tenants are kept, and when they are forgotten."""
 
 from __future__ import annotations
 
@@ -22,6 +22,7 @@
 
 
 def test_tenants_with_a_single_request_are_forgotten() -> None:
+    """Tenants that never come back must not stay in memory, even if their counter calls timed out."""
     driver = GatewayDriver()
     for i in range(300):
         request_id, actions = driver.send_request(plan="basic", tenant=f"k{i}")
@@ -38,7 +39,7 @@
 
 
 def test_the_number_of_tenants_is_limited_and_those_in_use_are_kept(monkeypatch: pytest.MonkeyPatch) -> None:
-    """New names must not fill the memory, nor evict a tenant whose ceiling share is not full."""
+    """New tenant names must neither fill the memory nor evict a tenant whose ceiling share is not full."""
     monkeypatch.setattr(tenants, "MAX_TENANTS", 50)
     driver = GatewayDriver(counter_enabled=False)
     for i in range(300):
@@ -46,19 +47,20 @@
         assert actions_of_type(actions, StartAttempt)
         driver.end_attempt(request_id)
         assert len(driver.gateway.tenants) <= 50
-    for i in range(60):  # a ceiling share is not forgotten before it would be full again
+    for i in range(60):  # Only the first 50 get a place, since none of their ceiling shares is full again.
         driver.send_request(plan="capped", tenant=f"c{i}", after_ms=1)
     assert [tenant for tenant, _ in driver.gateway.tenants] == [f"c{i}" for i in range(50)]
 
 
 def test_another_plan_or_gateway_count_leaves_a_quota_as_it_is() -> None:
     driver = GatewayDriver()
-    assert send_requests(driver, 10, plan="basic", gateway_count=1) == 6  # its burst
+    assert send_requests(driver, 10, plan="basic", gateway_count=1) == 6  # The burst.
     driver.send_request(plan="capped", gateway_count=3)
     assert send_requests(driver, 5, plan="basic", gateway_count=1) == 0
     tenant = driver.gateway.tenants["c", "basic"]
     driver.send_request(plan="basic", gateway_count=3)
-    assert tenant.quota.gateway_count == 3  # the safe side of two opinions, for this window and the next
+    # The largest number that a request names is the safe one. It applies to this window and the next.
+    assert tenant.quota.gateway_count == 3
     for _ in range(2):
         driver.send_request(plan="basic", gateway_count=1, after_ms=window_length_ms(BASIC_PLAN))
     assert tenant.quota.gateway_count == 1
--- a/tests/test_usage_reporting.py
+++ b/tests/test_usage_reporting.py
@@ -1,4 +1,4 @@
-"""Counter calls: when usage is reported, and which requests wait for a total."""
+"""Counter calls: when usage is reported, and which requests wait for a counter value."""
 
 from __future__ import annotations
 
@@ -27,9 +27,8 @@
 def test_near_the_limit_a_request_waits_for_the_counter_value_and_gets_a_response() -> None:
     driver = GatewayDriver()
     send_requests(driver, 5, plan="basic")
-    driver.gateway.tenants[
-        "c", "basic"
-    ].quota.remaining = 0.0  # the estimate says no; the last total left one unit
+    # The estimate does not allow the request, but the last counter value leaves one unit.
+    driver.gateway.tenants["c", "basic"].quota.remaining = 0.0
     request_id, actions = driver.send_request(plan="basic")
     assert (
         not actions_of_type(actions, StartAttempt)
@@ -86,9 +85,8 @@
     untagged_name = actions_of_type(
         GatewayDriver().send_request(plan="basic", tenant="c")[1], IncrementCounter
     )[0].name
-    assert (
-        names[0] != untagged_name == names[0].replace(".0.", ".")
-    )  # where no other window is as long: no tag
+    # Without another window of equal length there is no tag.
+    assert names[0] != untagged_name == names[0].replace(".0.", ".")
 
 
 @pytest.mark.parametrize(("previous_counter_value", "is_sent"), [(17, True), (18, False), (40, False)])
@@ -108,9 +106,9 @@
         previous_counter_value=previous_counter_value,
     )
     amounts = [a.amount for a in actions if isinstance(a, IncrementCounter)]
-    assert amounts[:2] == [1, 0], "its own unit, then a look at the last window's count"
+    assert amounts[:2] == [1, 0], "its own unit, then a query of the count of the last window"
     assert sum(amounts) == pytest.approx(min(previous_counter_value - 12, 6)), (
-        "12 refilled; its own is taken off"
+        "12 units were refilled; the unit reported already is deducted"
     )
     assert any(isinstance(a, StartAttempt) for a in actions) == is_sent
     assert tenant.quota.remaining < 0.2
@@ -128,4 +126,6 @@
     driver.deliver(CounterReply(first_call.name, CounterResult.OK, 1), 2)
     actions = driver.end_attempt(request_id, actual_units=2)
     correction = next(a for a in actions if isinstance(a, IncrementCounter))
-    assert correction.amount == pytest.approx(1 + 2 * 4.0, abs=0.1), "one unit more, and 4 s of refill"
+    assert correction.amount == pytest.approx(1 + 2 * 4.0, abs=0.1), (
+        "one unit more than estimated, and 4 s of refill"
+    )
