--- a/api_gateway/decisions/gateway.py
+++ b/api_gateway/decisions/gateway.py
@@ -132,9 +132,9 @@
         self.load_sampler = LoadSampler(
             settings=self.settings,
             admission=self.admission,
-            pending=self.pending_requests,
+            pending_requests=self.pending_requests,
             subset=self.subset,
-            outliers=self.outlier_detector,
+            outlier_detector=self.outlier_detector,
             traffic=self.traffic,
             uptime=self.uptime,
             sweep_timer=self.sweep_timer,
--- a/api_gateway/decisions/load_sampling.py
+++ b/api_gateway/decisions/load_sampling.py
@@ -42,9 +42,9 @@
     Args:
         settings: Settings of the gateway.
         admission: Admission control, which is updated from the samples.
-        pending: The pending requests.
+        pending_requests: The pending requests.
         subset: Subset of the endpoints that the gateway uses.
-        outliers: Detects outliers, whose latencies say nothing about the load of the back end.
+        outlier_detector: Detects outliers, whose latencies say nothing about the load of the back end.
         traffic: Request rates of the gateway.
         uptime: Time since the gateway started.
         sweep_timer: Detects stalls of this process.
@@ -55,9 +55,9 @@
         self,
         settings: Settings,
         admission: AdmissionController,
-        pending: PendingRequests,
+        pending_requests: PendingRequests,
         subset: EndpointSubset,
-        outliers: OutlierDetector,
+        outlier_detector: OutlierDetector,
         traffic: TrafficRates,
         uptime: Uptime,
         sweep_timer: SweepTimer,
@@ -65,9 +65,9 @@
     ) -> None:
         self._longest_objective_ms = max(c.latency_objective_ms for c in settings.classes)
         self._admission = admission
-        self._pending = pending
+        self._pending_requests = pending_requests
         self._subset = subset
-        self._outliers = outliers
+        self._outlier_detector = outlier_detector
         self._traffic = traffic
         self._uptime = uptime
         self._sweep_timer = sweep_timer
@@ -100,7 +100,7 @@
         """
         if attempt.started_at_ms < self._sweep_timer.stalled_at_ms or event.result in UNINFORMATIVE_RESULTS:
             return None
-        if self._outliers.is_outlier(attempt.endpoint):
+        if self._outlier_detector.is_outlier(attempt.endpoint):
             return None  # Outliers are ejected; their latencies would shed load on all other endpoints.
         occupancy, class_name = self._admission.occupancy, pending.class_name
         if event.result in (AttemptResult.OK, AttemptResult.ERROR):
@@ -139,20 +139,20 @@
         completion_rate, baseline_ms = self._traffic.completion_rate, self._admission.occupancy.baseline_ms
         if completion_rate <= 0:
             return 0.0, 0.0
-        in_flight = self._pending.attempts_in_flight - sum(e.in_flight for e in self._subset.ejected)
+        in_flight = self._pending_requests.attempts_in_flight - sum(e.in_flight for e in self._subset.ejected)
         delay_noise_ms = DELAY_NOISE_STANDARD_DEVIATIONS * math.sqrt(baseline_ms / completion_rate)
         return in_flight / completion_rate - baseline_ms, delay_noise_ms
 
     def update_admission(self, now_ms: float) -> None:
         """Update the admitted fraction from the samples since the last update."""
         occupancy = self._admission.occupancy
-        if not occupancy.update(self._admission.admitted_fraction) and not self._pending:
+        if not occupancy.update(self._admission.admitted_fraction) and not self._pending_requests:
             # Otherwise the occupancy would stay high long after an overload: near the minimum of the admitted
             # fraction, few requests give new samples.
             occupancy.decay(1 - SWEEP_INTERVAL_MS / self._longest_objective_ms)
         overdue_requests = 0
         if occupancy.sample_count < MIN_OCCUPANCY_SAMPLES:
-            overdue_requests = self._pending.count_overdue(OVERDUE_OBJECTIVE_FRACTION, now_ms)
+            overdue_requests = self._pending_requests.count_overdue(OVERDUE_OBJECTIVE_FRACTION, now_ms)
         self._admission.update(overdue_requests)
         admitted_fraction = self._admission.admitted_fraction
         if admitted_fraction < OVERLOADED_ADMITTED_FRACTION:
--- a/api_gateway/decisions/usage_reporting.py
+++ b/api_gateway/decisions/usage_reporting.py
@@ -19,14 +19,16 @@
 
     Args:
         settings: Settings of the gateway.
-        health: Whether the counter responds reliably.
+        counter_health: Whether the counter responds reliably.
         rng: Source of the random draws that throttle queries.
         actions: List to which the calls are appended.
     """
 
-    def __init__(self, settings: Settings, health: CounterHealth, rng: Random, actions: list[Action]) -> None:
+    def __init__(
+        self, settings: Settings, counter_health: CounterHealth, rng: Random, actions: list[Action]
+    ) -> None:
         self._is_enabled = settings.counter_enabled
-        self._health = health
+        self._counter_health = counter_health
         self._rng = rng
         self._actions = actions
         self._tenants_by_count: dict[str, Tenant] = {}  # Keys are the names of counts.
@@ -50,12 +52,12 @@
             units: Size of the request.
             now_ms: The current time, in milliseconds.
         """
-        if not self._is_enabled or tenant.plan.quota_rate <= 0 or not self._health.may_call(now_ms):
+        if not self._is_enabled or tenant.plan.quota_rate <= 0 or not self._counter_health.may_call(now_ms):
             return False
         is_uncertain = tenant.quota.is_uncertain(units, now_ms)
         if tenant.quota.is_counter_value_unknown:
             return True
-        query_probability = max(tenant.report.query_success_fraction, self._health.call_fraction)
+        query_probability = max(tenant.report.query_success_fraction, self._counter_health.call_fraction)
         return is_uncertain and self._rng.random() < query_probability
 
     def wait_for_counter_value(self, pending: PendingRequest, now_ms: float) -> None:
@@ -83,7 +85,7 @@
         if not self._is_enabled or tenant.plan.quota_rate <= 0 or report.is_call_in_flight:
             return
         is_due = self._is_report_due(tenant, usage, now_ms)
-        if reserved_units or is_forced or (is_due and self._health.may_call(now_ms)):
+        if reserved_units or is_forced or (is_due and self._counter_health.may_call(now_ms)):
             self._call(tenant, report.count_name, report.take_report_amount(usage), now_ms)
 
     @staticmethod
@@ -96,7 +98,7 @@
 
     def _call(self, tenant: Tenant, count_name: str, amount: float, now_ms: float) -> None:
         tenant.report.start_call(amount, now_ms)
-        self._health.record_call(now_ms)
+        self._counter_health.record_call(now_ms)
         self._tenants_by_count[count_name] = tenant
         ttl_ms = min(2 * window_length_ms(tenant.plan), MAX_COUNT_TTL_MS)
         self._actions.append(IncrementCounter(count_name, amount, ttl_ms))
@@ -108,7 +110,7 @@
             The tenant of the call, whose waiting requests can now be decided on; None for an outdated reply,
             or while a further call is made for them.
         """
-        self._health.record_reply(reply.result, now_ms)
+        self._counter_health.record_reply(reply.result, now_ms)
         tenant = self._tenants_by_count.get(reply.name)
         if tenant is None or not tenant.report.is_call_in_flight:
             return None
@@ -144,7 +146,7 @@
         """
         plan = tenant.plan
         refill = plan.quota_rate * (now_ms - tenant.quota.window_started_at_ms) / 1000
-        if 2 * refill >= plan.quota_burst or not self._health.may_call(now_ms):
+        if 2 * refill >= plan.quota_burst or not self._counter_health.may_call(now_ms):
             tenant.report.expired_refill = refill
             return False
         self._call(tenant, tenant.report.previous_count_name, 0.0, now_ms)
@@ -186,7 +188,7 @@
             started_at_ms: When it began, in milliseconds.
         """
         is_next = window == tenant.quota.window + 1
-        carries_over = self._health.is_reliable and is_next
+        carries_over = self._counter_health.is_reliable and is_next
         unreported_usage = tenant.report.unreported_usage if carries_over else 0.0
         tenant.quota.start_window(window, started_at_ms, unreported_usage)
         tenant.report.start_window(window)
--- a/tests/test_ceiling.py
+++ b/tests/test_ceiling.py
@@ -64,6 +64,7 @@
 
 
 def test_ceiling_holds_for_ten_gateways_of_a_large_fleet_with_restarts() -> None:
+    """A gateway that restarts must not begin with tokens that the process before it has used."""
     rng = random.Random(4)
     plan = settings().plans[1]
     now_ms, tokens, taken_at_ms, sent = 5e5, plan.ceiling_burst, 5e5, 0
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -17,7 +17,7 @@
 SEEDS = (1, 2, 3)
 SHORT_OBJECTIVE = RequestClass("short", latency_objective_ms=100, deadline_ms=400, priority_weight=5)
 LONG_OBJECTIVE = RequestClass("long", latency_objective_ms=2000, deadline_ms=8000, priority_weight=1)
-QUEUEING_ENDPOINTS = {"endpoints": 6, "cores": 2, "gateways": 4}  # 12 cores.
+QUEUEING_ENDPOINTS = {"endpoints": 6, "cores": 2, "gateways": 4}  # 12 cores in total.
 # Requested units of each tenant, as a multiple of its quota.
 TENANT_LOAD_FACTORS = (0.3, 0.3, 0.3, 0.3, 0.2, 0.4, 0.4, 0.5, 0.9, 0.95, 3.0) * 4
 
@@ -54,6 +54,7 @@
 def test_idle_endpoints_cause_no_rejections_at_any_service_time(
     service_time_ratio: float, requests_per_s: float
 ) -> None:
+    """Work that takes much of its objective even on idle endpoints must not be mistaken for overload."""
     assert rejected_fraction_without_queueing(single_class_load(service_time_ratio, requests_per_s)) < 0.02
 
 
@@ -65,12 +66,15 @@
 
 @pytest.mark.parametrize("time_scale", [0.1, 1.0, 10.0])
 def test_rejections_do_not_depend_on_the_scale_of_time(time_scale: float) -> None:
+    """Constants in milliseconds must not make the result depend on the length of the objective."""
     load = single_class_load(0.5, 20 / max(time_scale, 1.0), time_scale=time_scale)
     simulation = EndpointSimulation([load], seed=1).run(30 * max(time_scale, 1.0))
     assert simulation.counts["read"].rejected_fraction < 0.02
 
 
 def test_scaled_weights_and_reordered_classes_change_nothing() -> None:
+    """Only the ratios of priority weights may matter, and not the order of the classes in the settings."""
+
     def served(loads: list[Load]) -> dict[str, int]:
         ordered = sorted(loads, key=lambda load: load.requests_per_s)
         counts = EndpointSimulation(ordered, seed=1, **QUEUEING_ENDPOINTS).run(15).counts
@@ -95,10 +99,8 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_overload_rejects_by_weight_per_service_time_and_serves_some_of_each_class(seed: int) -> None:
-    loads = [
-        Load(SHORT_OBJECTIVE, 45, 20),
-        Load(LONG_OBJECTIVE, 100, 20),
-    ]  # 0.97 of the capacity of the cores.
+    # These loads take 0.97 of the capacity of the cores.
+    loads = [Load(SHORT_OBJECTIVE, 45, 20), Load(LONG_OBJECTIVE, 100, 20)]
     simulation = EndpointSimulation(loads, seed=seed, **QUEUEING_ENDPOINTS).run(5, load_factor=0.4)
     simulation.reset_counts()
     counts = simulation.run(20, load_factor=1.5).counts
@@ -111,6 +113,7 @@
 
 @pytest.mark.parametrize("service_time_ratio", [0.05, 0.1, 0.2, 0.3, 0.5])
 def test_overload_is_detected_at_any_service_time(service_time_ratio: float) -> None:
+    """Overload must be detected whether idle endpoints take little or much of the objective."""
     load = single_class_load(service_time_ratio, 3 / service_time_ratio)  # The full capacity of the cores.
     simulation = EndpointSimulation([load], seed=1, **QUEUEING_ENDPOINTS)
     simulation.run(5, load_factor=0.4).run(13, load_factor=2)
--- a/tests/test_fleet_quota.py
+++ b/tests/test_fleet_quota.py
@@ -19,16 +19,8 @@
 FLEET_SIZE = 200
 PLAN = Plan("team", quota_rate=5, quota_burst=20, over_quota_cost=1.0)
 REJECTED_CALL_FRACTION = 0.15  # Fraction of the counter calls that is rejected.
-LOAD_FACTORS = (
-    0.2,
-    0.3,
-    0.3,
-    0.4,
-    0.5,
-    0.5,
-    0.9,
-    4.0,
-)  # Requested units of each tenant as a multiple of its quota.
+# Requested units of each tenant, as a multiple of its quota.
+LOAD_FACTORS = (0.2, 0.3, 0.3, 0.4, 0.5, 0.5, 0.9, 4.0)
 SWEEP_INTERVAL_MS = 100.0
 START_MS = 1e6
 DURATION_S = 30
@@ -42,7 +34,7 @@
 
 
 class ImmediateQuotaSimulation:
-    """A fleet whose counter and endpoints respond at once, with a fixed number of requests.
+    """A fleet whose counter and endpoints respond immediately, with a fixed number of requests.
 
     Unlike `QuotaSimulation` it has no event queue: no reply takes time, and all gateways sweep together.
     """
@@ -59,7 +51,7 @@
             gateway.handle(START_MS, update)
 
     def run(self, seconds: float) -> None:
-        """Run the load for simulated seconds."""
+        """Run the load for some simulated seconds."""
         refilled_at_ms = sweep_at_ms = 0.0
         for serial, arrival in enumerate(self._draw_arrivals(seconds)):
             while sweep_at_ms < arrival.at_ms:
@@ -104,7 +96,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_fleet_forwards_little_over_quota_and_most_within_quota(seed: int) -> None:
-    """The cost of the units over quota must be less than 0.1 of the value of all units allowed."""
+    """The units over quota must cost less than 0.1 of the value of the units that the quotas allow."""
     simulation = ImmediateQuotaSimulation(seed)
     simulation.run(DURATION_S)
     units_allowed = (
--- a/tests/test_latency.py
+++ b/tests/test_latency.py
@@ -13,10 +13,11 @@
 
 
 def test_a_client_retry_is_rejected_once_its_objective_has_passed() -> None:
+    """The objective of a retry runs from the first request, so that serving it later would be useless."""
     driver = GatewayDriver()
     for _ in range(50):
         driver.end_attempt(driver.send_request(time_left_ms=3900, after_ms=10)[0])
-    # 1500 ms of the timeout of 4000 ms were spent on earlier requests; the objective is 1000 ms.
+    # 1500 ms of the deadline of 4000 ms were spent on earlier requests; the objective is 1000 ms.
     assert actions_of_type(driver.send_request(time_left_ms=2500)[1], RejectRequest)
     # 500 ms were spent.
     attempt = actions_of_type(driver.send_request(time_left_ms=3500)[1], StartAttempt)[0]
@@ -24,6 +25,7 @@
 
 
 def test_requests_of_clients_with_various_timeouts_are_not_treated_as_retries() -> None:
+    """Where clients have no common timeout, a short remaining time must not be mistaken for a retry."""
     driver = GatewayDriver()
     rng = random.Random(3)
     for _ in range(200):
--- a/tests/test_load_sampling.py
+++ b/tests/test_load_sampling.py
@@ -94,6 +94,7 @@
 
 
 def test_an_outlier_gives_no_samples_but_a_slow_fleet_does() -> None:
+    """One slow endpoint must not shed load, but if all are slow, none of them is an outlier."""
     for median_ratio, expected_samples in ((1.0, 0), (10.0, 1)):
         driver = GatewayDriver(endpoints=1)
         request_id, _ = driver.send_request()
@@ -107,6 +108,7 @@
 
 
 def test_lost_responses_are_no_overload_but_late_ones_are() -> None:
+    """Timeouts while other responses are fast are lost responses, which must not shed load."""
     for duration_ms, is_overloaded in ((50, False), (950, True)):
         driver = GatewayDriver(endpoints=8)
         for i in range(60):
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -86,6 +86,7 @@
 
 
 def test_a_counter_that_restarts_empty_does_not_refill_the_quota() -> None:
+    """A restarted counter returns values that are too low, which must not be read as remaining units."""
     driver = GatewayDriver()
     assert send_requests(driver, 20, reset_counter_at=3, plan="basic") == 6
     # A counter value that falls does not mean that other gateways have given back units.
@@ -93,6 +94,7 @@
 
 
 def test_usage_beyond_the_quota_is_not_charged_permanently() -> None:
+    """Usage of other gateways beyond the quota must not block the tenant once its bucket is refilled."""
     driver = GatewayDriver()
     # The other gateways go far beyond the quota.
     send_requests(driver, 8, peer_usage=5.0, plan="basic")
@@ -110,6 +112,10 @@
 
 
 def test_one_request_of_another_gateway_in_the_first_counter_value_is_no_high_rate() -> None:
+    """The first counter value covers the window from its start, not just a moment.
+
+    Otherwise a few units of other gateways would look like a high rate, which leaves nothing to this gateway.
+    """
     driver = GatewayDriver(endpoints=60, fleet_size=40, now_ms=1e6)
     driver.sweep(80)
     assert any(isinstance(a, StartAttempt) for a in send_request_with_counter_values(driver, 1, 3))
--- a/tests/test_usage_reporting.py
+++ b/tests/test_usage_reporting.py
@@ -25,6 +25,7 @@
 
 
 def test_near_the_limit_a_request_waits_for_the_counter_value_and_gets_a_response() -> None:
+    """A request must not get lost while it waits for a counter call, even one that times out."""
     driver = GatewayDriver()
     send_requests(driver, 5, plan="basic")
     # The estimate does not allow the request, but the last counter value leaves one unit.
@@ -41,6 +42,10 @@
 
 
 def test_units_of_a_rejected_request_are_taken_back_while_the_counter_responds() -> None:
+    """The units of a request that waits are added to the count, and must not stay there if it is rejected.
+
+    They do stay while the counter does not respond, because calls are throttled then.
+    """
     for response_fraction, amounts in ((1.0, [1, -1]), (0.0, [1])):
         driver = GatewayDriver()
         driver.send_request(plan="basic")
@@ -54,6 +59,7 @@
 def test_a_request_with_little_remaining_time_does_not_wait_for_a_counter_value(
     remaining_time_ms: float,
 ) -> None:
+    """A counter call that times out must not use up the time in which the request can be served."""
     driver = GatewayDriver(counter_timeout_ms=30)
     request_id, actions = driver.send_request(plan="basic", time_left_ms=remaining_time_ms)
     assert len(actions_of_type(actions, StartAttempt)) + len(actions_of_type(actions, RejectRequest)) == 1
@@ -61,6 +67,7 @@
 
 
 def test_a_request_without_a_counter_reply_still_gets_a_response() -> None:
+    """A request must be decided on by a sweep if the reply to its counter call never comes."""
     driver = GatewayDriver()
     send_requests(driver, 5, plan="basic")
     driver.gateway.tenants["c", "basic"].quota.remaining = 0.0
@@ -75,6 +82,7 @@
 
 
 def test_plans_with_windows_of_equal_length_have_separate_counts() -> None:
+    """The windows of two plans may have the same numbers, and must not be counted together then."""
     same_window_plan = dataclasses.replace(BASIC_PLAN, name="twin")
     driver = GatewayDriver(plans=(BASIC_PLAN, same_window_plan, CAPPED_PLAN))
     names = [
@@ -93,6 +101,10 @@
 def test_the_first_report_of_a_window_carries_over_the_debt_of_the_last(
     previous_counter_value: float, is_sent: bool
 ) -> None:
+    """Without the debt in its count, a window would begin with a full bucket, whatever was used before it.
+
+    The first gateway that reports in the window must add the debt, so that all others see it.
+    """
     driver = GatewayDriver(endpoints=60, fleet_size=40, now_ms=1e6)
     driver.sweep(80)
     send_request_with_counter_values(driver, 1, 3)
@@ -108,13 +120,17 @@
     amounts = [a.amount for a in actions if isinstance(a, IncrementCounter)]
     assert amounts[:2] == [1, 0], "its own unit, then a query of the count of the last window"
     assert sum(amounts) == pytest.approx(min(previous_counter_value - 12, 6)), (
-        "12 units were refilled; the unit reported already is deducted"
+        "the debt is what exceeds 12 refilled units, at most the burst"
     )
     assert any(isinstance(a, StartAttempt) for a in actions) == is_sent
     assert tenant.quota.remaining < 0.2
 
 
 def test_refill_of_a_full_bucket_expires_for_all_gateways() -> None:
+    """Refill of a full bucket must not become available later in the window.
+
+    The gateway that reports first in the window adds it to the count, so that all others see it as used.
+    """
     driver = GatewayDriver(endpoints=60, fleet_size=40, now_ms=1e6)
     driver.sweep(80)
     tenant = driver.gateway.request_flow._find_tenant(
