--- a/api_gateway/decisions/occupancy.py
+++ b/api_gateway/decisions/occupancy.py
@@ -32,7 +32,7 @@
 BASELINE_STANDARD_ERRORS = 3.0  # The minimum of several block means is too low by about this much.
 BASELINE_RISE_TIME_MS = 300000.0  # Time in which the baseline rises to latencies that stay higher.
 LOST_RESPONSE_LATENCY_MULTIPLE = 4.0  # A response is assumed lost after this many typical latencies.
-MAX_PREDICTION_WEIGHT = 0.5  # Weight of a reliable prediction in a sample, beside the measured latency.
+MAX_PREDICTION_WEIGHT = 0.5  # Weight of a reliable prediction in a sample; the measurement has the rest.
 
 
 class LatencyBlock:
@@ -122,7 +122,7 @@
         )
 
     def _learn_baseline(self, block: LatencyBlock, now_ms: float) -> None:
-        """Lower the baseline at once to the mean of a faster block; raise it slowly towards slower ones."""
+        """Lower the baseline to the mean of a faster block; raise it slowly towards that of a slower one."""
         if block is self._current_block:
             self._current_block = None
         mean = block.latency_sum / block.response_count
--- a/api_gateway/decisions/quota.py
+++ b/api_gateway/decisions/quota.py
@@ -99,7 +99,7 @@
         self.last_counter_value_at_ms = 0.0
         self._reported_at_last_counter_value = 0.0
 
-    def note_gateway_count(self, gateway_count: int) -> None:
+    def record_gateway_count(self, gateway_count: int) -> None:
         """Record how many gateways a request names; the maximum applies to this window and the next."""
         self._gateway_count_in_window = max(self._gateway_count_in_window, gateway_count)
         self.gateway_count = max(self.gateway_count, gateway_count)
@@ -166,9 +166,9 @@
         return self.remaining >= units - ROUNDING_TOLERANCE
 
     def is_uncertain(self, units: float, now_ms: float) -> bool:
-        """Refill, and return whether only a new counter value can show whether so many units remain.
+        """Refill, and return whether only a new counter value can show if enough units remain.
 
-        That is so if the estimate may be too low for them, but the last counter value leaves enough.
+        That is so if the estimate may be too low for the request, but the last counter value leaves enough.
 
         Args:
             units: Size of the request.
--- a/api_gateway/decisions/request_flow.py
+++ b/api_gateway/decisions/request_flow.py
@@ -152,7 +152,7 @@
                 self._usage_reporter.forget_calls(tenant)
                 self._decide_waiting(tenant, now_ms)
                 self._usage_reporter.start_window(tenant, window, started_at_ms)
-        tenant.quota.note_gateway_count(self._tenants.gateway_count(request))
+        tenant.quota.record_gateway_count(self._tenants.gateway_count(request))
         return tenant
 
     # Decision
--- a/api_gateway/decisions/usage_reporting.py
+++ b/api_gateway/decisions/usage_reporting.py
@@ -90,7 +90,11 @@
 
     @staticmethod
     def _is_report_due(tenant: Tenant, usage: float, now_ms: float) -> bool:
-        """Return whether the remaining units would be used up if each gateway had as much to report."""
+        """Return whether usage is due to be reported.
+
+        It is due if the quota would be used up if each gateway had as much to report. Units that are given
+        back are always due.
+        """
         if not usage:
             return False
         fleet_usage = usage * tenant.quota.gateway_count
