--- a/testbed/__init__.py
+++ b/testbed/__init__.py
@@ -1,6 +1,6 @@
-"""Emulator of the systems around the gateway, with load generation and a scale experiment.
+"""Testbed for the gateway: emulators of the systems around it, load generators and a scale experiment.
 
-The gateway never imports this package. Each emulated system follows its protocol page and runs in a process
-of its own on loopback addresses (`testbed.worker`). An experiment (`testbed.scale`) starts the processes,
-generates load and measures.
+The gateway never imports this package. Each emulated system implements the protocol of its documentation
+page, and runs in a worker process on loopback addresses (`testbed.worker`). An experiment (`testbed.scale`)
+starts the processes, generates load and measures.
 """
--- a/testbed/cli.py
+++ b/testbed/cli.py
@@ -21,12 +21,12 @@
     simulated_gateways=60, real_gateways=2, endpoints=900, tenants=600, load_s=4.0, requests_per_s=10.0
 )
 MAX_LOAD_S = 300.0
-MAX_MEMORY_FRACTION = 0.5  # of the machine's memory
-PIPE_WIDTH_COLUMNS = 150  # columns of the tables if the output is no terminal
+MAX_MEMORY_FRACTION = 0.5  # an experiment may use half of the machine's memory
+PIPE_WIDTH_COLUMNS = 150  # width of the tables if the output is not a terminal
 
 
 class ExitStatus(enum.IntEnum):
-    """Exit status of the command."""
+    """Exit status of `python -m testbed`."""
 
     SUCCESS = 0
     EXPERIMENT_FAILED = 1
@@ -36,7 +36,7 @@
 
 @click.group()
 def cli() -> None:
-    """Experiments on the gateway, on loopback addresses of this machine alone."""
+    """Run experiments on the gateway. All processes use only loopback addresses of this machine."""
 
 
 @cli.command()
@@ -44,66 +44,80 @@
     "--gateways",
     "simulated_gateways",
     type=click.IntRange(1, 2000),
-    help="Simulated gateways, without sockets for clients and endpoints.",
+    help="Number of simulated gateways, which have no sockets for clients and endpoints.",
 )
 @click.option(
     "--real",
     "real_gateways",
     type=click.IntRange(0, 32),
-    help="Gateway processes beside them, started by the deploy file's run command.",
+    help="Number of real gateway processes, started by the deploy file's run command.",
 )
 @click.option(
     "--hosts", "endpoints", type=click.IntRange(36, 50_000), help="Size of the largest endpoint list."
 )
 @click.option(
-    "--customers", "tenants", type=click.IntRange(1, 1_000_000), help="Tenants that requests belong to."
+    "--customers",
+    "tenants",
+    type=click.IntRange(1, 1_000_000),
+    help="Number of tenants that requests belong to.",
+)
+@click.option(
+    "--seconds", "load_s", type=click.FloatRange(1.0, MAX_LOAD_S), help="Duration of each load, in seconds."
 )
-@click.option("--seconds", "load_s", type=click.FloatRange(1.0, MAX_LOAD_S), help="Duration of each load.")
 @click.option(
     "--rate",
     "requests_per_s",
     type=click.FloatRange(0.1, 1000.0),
-    help="Requests a second to each simulated gateway.",
+    help="Mean requests per second to each simulated gateway.",
 )
 @click.option(
     "--real-rate",
     "real_requests_per_s",
     type=click.FloatRange(0.1, 2000.0),
-    help="Requests a second to each real gateway.",
+    help="Mean requests per second to each real gateway.",
 )
 @click.option(
     "--discovery-calls",
     "discovery_calls_per_s",
     type=click.FloatRange(1.0),
-    help="Calls a second that discovery processes, with --asked.",
+    help="Calls per second that discovery processes; used only with --asked.",
 )
 @click.option(
     "--skew",
     "traffic_share_shape",
     type=click.FloatRange(0.1, 1000.0),
-    help="Shape of the gateways' shares of the traffic; 1000 is even.",
+    help="Shape parameter of the gateways' gamma-distributed traffic shares; 1000 makes them nearly even.",
 )
 @click.option(
     "--turned-away",
     "counter_rejected_fraction",
     type=click.FloatRange(0.0, 1.0),
-    help="Part of the counter's calls to reject while quotas are measured.",
+    help="Fraction of the counter's calls to reject while quotas are measured.",
+)
+@click.option(
+    "--asked",
+    "discovery_by_polling",
+    is_flag=True,
+    help="Let all gateways poll one discovery service, instead of an agent on each gateway's machine.",
 )
-@click.option("--asked", "discovery_by_polling", is_flag=True, help="Send the endpoint list only on request.")
-@click.option("--seed", type=click.IntRange(1), help="Seed of all random draws.")
+@click.option("--seed", type=click.IntRange(1), help="Seed of all random generators.")
 @click.option(
     "--json",
     "report_path",
     type=click.Path(dir_okay=False, path_type=Path),
-    help="File to write the report to.",
+    help="File to write the report to, as JSON.",
+)
+@click.option(
+    "--quick",
+    is_flag=True,
+    help="Run a small experiment of less than 60 s; other options override its parameters.",
 )
-@click.option("--quick", is_flag=True, help="A small experiment within 60 s; other options override its own.")
 def scale(report_path: Path | None, quick: bool, discovery_by_polling: bool, **options: float | None) -> None:
-    """Measure a fleet with three sizes of its endpoint list, and fit what grows with it."""
+    """Measure a fleet with three sizes of its endpoint list, and fit a line to each figure that may grow."""
     plan = _create_plan(quick, discovery_by_polling, options)
     _check_memory(plan)
     if report_path is not None and not report_path.parent.is_dir():
-        raise click.UsageError(f"--json: there is no folder {report_path.parent}")
+        raise click.UsageError(f"--json: directory {report_path.parent} does not exist")
     console = Console(stderr=True)
     with console.status("starting") as status:
         report = run_experiment(plan, ["python", "-m", "testbed", *sys.argv[1:]], status.update)
@@ -115,7 +129,7 @@
 def _create_plan(quick: bool, discovery_by_polling: bool, options: dict[str, float | None]) -> Plan:
     given_options = {name: value for name, value in options.items() if value is not None}
     if not quick and "simulated_gateways" not in given_options:
-        raise click.UsageError("--gateways is needed, or --quick")
+        raise click.UsageError("one of --gateways and --quick is required")
     base = QUICK_PLAN if quick else Plan(simulated_gateways=1)
     return msgspec.structs.replace(base, discovery_by_polling=discovery_by_polling, **given_options)
 
@@ -125,7 +139,8 @@
     limit_mb = MAX_MEMORY_FRACTION * machine_memory_mb()
     if needed_mb > limit_mb:
         raise click.UsageError(
-            f"about {needed_mb:,.0f} MB are needed, half of this machine's memory is {limit_mb:,.0f}"
+            f"the experiment needs about {needed_mb:,.0f} MB of memory; the limit is {limit_mb:,.0f} MB, "
+            "half of this machine's memory"
         )
 
 
@@ -134,10 +149,10 @@
 
 
 def main() -> int:
-    """Run the command line.
+    """Run the command line, and print each error as one line on standard error.
 
     Returns:
-        The exit status; each error is one plain line on standard error.
+        The exit status.
     """
     try:
         cli.main(standalone_mode=False, prog_name="python -m testbed")
--- a/testbed/counter_server.py
+++ b/testbed/counter_server.py
@@ -1,4 +1,7 @@
-"""Emulator of the shared counter: totals by name, partitioned, with a bounded rate of calls."""
+"""Emulator of the counter, which keeps counts by name.
+
+The counts are distributed over partitions by their names. Each partition processes a limited rate of calls.
+"""
 
 from __future__ import annotations
 
@@ -14,16 +17,16 @@
 MAX_COUNT_NAME_LENGTH = 64
 MAX_AMOUNT = 1e9
 MAX_LIFETIME_MS = 60_000.0
-LATE_RESPONSE_DELAY_S = 2.0  # beyond the timeout of every caller
+LATE_RESPONSE_DELAY_S = 2.0  # longer than the timeout of any caller
 
 
 class Increment(NamedTuple):
-    """One increment.
+    """An increment of a count.
 
     Attributes:
-        name: Name of the total.
-        amount: What is added.
-        lifetime_s: How long a new total lives, in seconds.
+        name: Name of the count.
+        amount: Amount to add, in units; may be negative.
+        lifetime_s: Time after which the count expires if this increment creates it, in seconds.
     """
 
     name: str
@@ -57,18 +60,20 @@
 
 class _Count(NamedTuple):
     value: float
-    expires_at: float  # seconds, loop time
+    expires_at: float  # loop time in seconds
 
 
 class CounterServer:
-    """Counter whose partitions process calls one after another and reject calls beyond their queues.
+    """Counter whose partitions process calls one after another and reject calls if their queue is too long.
 
     Attributes:
         traffic: Counts of requests, bytes and connections.
-        calls: Valid calls so far.
-        rejected_calls: Calls that got status 503.
-        rejected_fraction: Part of the calls to reject whatever the queue is, from 0 to 1.
-        late_fraction: Part of the processed calls to respond to only after their callers' timeouts.
+        calls: Number of well-formed calls, including the rejected ones.
+        rejected_calls: Number of calls that got status 503.
+        rejected_fraction: Fraction of the calls to reject at random, in addition to those that would wait too
+            long.
+        late_fraction: Fraction of the processed calls whose response is delayed by `LATE_RESPONSE_DELAY_S`,
+            so that their callers time out.
     """
 
     def __init__(
@@ -82,10 +87,12 @@
         """Initialize the counter.
 
         Args:
-            calls_per_s: Calls a second that all partitions process together.
+            calls_per_s: Calls per second that all partitions together process.
             partitions: Number of partitions.
-            max_queue_delay_s: Longest time that a call may wait, in seconds.
-            rejected_fraction: Part of the calls to reject whatever the queue is, from 0 to 1.
+            max_queue_delay_s: Longest time that a call may wait and be processed, in seconds; a call that
+                would take longer is rejected.
+            rejected_fraction: Fraction of the calls to reject at random, in addition to those that would wait
+                too long.
             seed: Seed of the random generator.
         """
         self.traffic = TrafficStatistics()
@@ -100,7 +107,7 @@
         self._rng = random.Random(seed)
 
     def handle(self, request: Request) -> None:
-        """Queue one call, or respond with its error at once."""
+        """Queue one call, or respond at once with status 400 (malformed) or 503 (rejected)."""
         increment = parse_increment(request.target)
         if increment is None:
             request.respond(encode_response(400))
--- a/testbed/discovery_server.py
+++ b/testbed/discovery_server.py
@@ -1,8 +1,8 @@
-"""Emulator of service discovery: full endpoint lists, changes and long polls.
+"""Emulator of service discovery, with full endpoint lists, lists of changes and long polls.
 
-Without a limit on its calls it emulates the discovery agent on each gateway's machine, which responds at
-once. With a limit it is one service for the whole fleet, which processes calls one after another and rejects
-those that would wait for too long.
+Without a limit on its calls, the server emulates the discovery agents on the machines of the gateways, which
+respond at once. With a limit, it emulates one service for the whole fleet. That service processes calls one
+after another, and rejects a call that would wait too long for its turn.
 """
 
 from __future__ import annotations
@@ -18,26 +18,26 @@
 from testbed.http_server import Request, TrafficStatistics, encode_response
 
 ENDPOINTS_PATH = "/v1/endpoints"
-MAX_RETAINED_CHANGES = 4096  # a watch from an older generation gets the full list
+MAX_RETAINED_CHANGES = 4096  # a poll with a generation before the retained ones gets the full list
 MAX_LONG_POLL_MS = 60_000.0
 LIFECYCLE_GONE = "gone"
 
 
 class Instance(msgspec.Struct):
-    """One endpoint, with the keys of the discovery protocol.
+    """One endpoint of the list; the field names are the keys of the discovery protocol.
 
     Attributes:
-        instanceId: Unique id.
+        instanceId: Unique id of the endpoint.
         hostPort: Address as HOST:PORT.
         zone: Zone of the endpoint.
-        cell: Number of the cell.
+        cell: Number of the endpoint's cell.
         lifecycle: "ready", "draining" or "gone".
         weight: Load balancing weight.
-        startedAtMs: Unix time of the start, in milliseconds.
-        machineType: Type of the machine.
+        startedAtMs: Unix time of the endpoint's start, in milliseconds.
+        machineType: Type of the endpoint's machine.
     """
 
-    instanceId: str  # noqa: N815 - key of the protocol
+    instanceId: str  # noqa: N815 - key of the discovery protocol
     hostPort: str  # noqa: N815
     zone: str
     cell: int = 0
@@ -49,7 +49,7 @@
 
 class _EndpointList(msgspec.Struct):
     generation: int
-    reset: bool  # whether this is the full list
+    reset: bool  # True for the full list, False for a list of changes
     instances: list[Instance]
 
 
@@ -68,13 +68,13 @@
     """The endpoint list, its generations and the open long polls.
 
     Attributes:
-        generation: Generation of the list.
-        instances: Current endpoints by id.
+        generation: Generation of the endpoint list.
+        instances: The current endpoints, by id.
         traffic: Counts of requests, bytes and connections.
-        full_lists_sent: Full lists sent.
-        change_lists_sent: Lists of changes sent.
-        empty_lists_sent: Responses sent without any change.
-        rejected_calls: Calls that got status 503.
+        full_lists_sent: Number of responses with the full list.
+        change_lists_sent: Number of responses with changes.
+        empty_lists_sent: Number of responses without any change.
+        rejected_calls: Number of calls that got status 503.
         full_list_bytes: Size of the full list that was sent last, in bytes.
     """
 
@@ -85,8 +85,9 @@
 
         Args:
             instances: The endpoints of the first generation.
-            calls_per_s: Calls a second that the server processes; 0 to respond to each at once.
-            max_queue_delay_s: Longest time that a call may wait for its turn, in seconds.
+            calls_per_s: Calls per second that the server processes; 0 to process each call at once.
+            max_queue_delay_s: Longest time that a call may wait and be processed, in seconds; a call that
+                would take longer is rejected. Used only with a limit on the calls.
         """
         self.generation = 1
         self.instances = {instance.instanceId: instance for instance in instances}
@@ -104,7 +105,7 @@
         self._long_polls: set[_LongPoll] = set()
 
     def handle(self, request: Request) -> None:
-        """Process one call at once or in its turn, or reject it."""
+        """Process one call, queue it, or reject it with status 503 if the queue is too long."""
         if not self._calls_per_s:
             self._process(request)
             return
@@ -120,10 +121,10 @@
         loop.call_at(done_at, self._process, request)
 
     def publish_changes(self, changed: list[Instance]) -> None:
-        """Publish a new generation and respond to all long polls.
+        """Publish a new generation of the endpoint list, and respond to all open long polls.
 
         Args:
-            changed: New, changed and removed ("gone") instances.
+            changed: New and changed instances, and removed ones with the lifecycle "gone".
         """
         self.generation += 1
         for instance in changed:
@@ -137,7 +138,7 @@
             self._send_changes(long_poll.request, long_poll.known_generation)
 
     def has_long_polls(self) -> bool:
-        """Return whether any long poll is open."""
+        """Return whether at least one long poll is open."""
         return bool(self._long_polls)
 
     def _process(self, request: Request) -> None:
--- a/testbed/endpoint_server.py
+++ b/testbed/endpoint_server.py
@@ -1,4 +1,7 @@
-"""Emulator of upstream endpoints: any number of them behind a few ports of one process."""
+"""Emulator of upstream endpoints.
+
+One process listens on a few ports, and many entries of the endpoint list can have the same port.
+"""
 
 from __future__ import annotations
 
@@ -9,18 +12,18 @@
 from testbed.http_server import Request, TrafficStatistics, encode_response
 
 MEAN_SERVICE_TIME_MS = 20.0
-SERVICE_TIME_VARIATION_COEFFICIENT = 0.8  # coefficient of variation: standard deviation over mean
+SERVICE_TIME_VARIATION_COEFFICIENT = 0.8  # standard deviation divided by mean
 
 
 class ServiceTimes:
-    """Lognormal service times."""
+    """Generator of lognormal service times."""
 
     def __init__(self, mean_ms: float, variation_coefficient: float, seed: int) -> None:
         """Initialize the distribution.
 
         Args:
             mean_ms: Mean service time in milliseconds.
-            variation_coefficient: Coefficient of variation.
+            variation_coefficient: Standard deviation of the service time, divided by its mean.
             seed: Seed of the random generator.
         """
         self._rng = random.Random(seed)
@@ -33,7 +36,7 @@
 
 
 class EndpointServer:
-    """Responds to each request after its service time, with that time (microseconds) as the body."""
+    """Responds to each request after a random service time; the body is that time in microseconds."""
 
     def __init__(
         self,
@@ -45,7 +48,7 @@
 
         Args:
             mean_ms: Mean service time in milliseconds.
-            variation_coefficient: Coefficient of variation of the service time.
+            variation_coefficient: Standard deviation of the service time, divided by its mean.
             seed: Seed of the random generator.
         """
         self.traffic = TrafficStatistics()
--- a/testbed/errors.py
+++ b/testbed/errors.py
@@ -4,15 +4,15 @@
 
 
 class ExperimentError(Exception):
-    """Base of all errors that end an experiment."""
+    """Base class of all errors that end an experiment."""
 
 
 class ProcessError(ExperimentError):
-    """A process ended or did not reply.
+    """A process of the experiment ended or did not reply in time.
 
     Attributes:
-        role: The role of the process.
-        cause: What went wrong.
+        role: Role of the process, a value of `ProcessRole`.
+        cause: Description of the failure.
     """
 
     def __init__(self, role: str, cause: str) -> None:
@@ -21,25 +21,25 @@
 
 
 class ProcessLimitError(ExperimentError):
-    """The experiment would run more processes than it may."""
+    """The experiment needs more processes than its limit."""
 
     def __init__(self, limit: int) -> None:
-        super().__init__(f"more than {limit} processes")
+        super().__init__(f"the experiment needs more than {limit} processes")
 
 
 class ExperimentTimeoutError(ExperimentError):
-    """The fleet did not reach a state in time."""
+    """The fleet was not ready, or did not receive a change of the endpoint list, in time."""
 
 
 class NoRequestServedError(ExperimentError):
-    """No request of the load was served, so that there is nothing to report."""
+    """No request of the load was served, so there are no figures to report."""
 
     def __init__(self) -> None:
-        super().__init__("no request was served: there is nothing to report")
+        super().__init__("no request of the load was served, so there are no figures to report")
 
 
 class UnsupportedCommandError(ExperimentError):
-    """A worker got a command that it does not have."""
+    """A worker received a command that it does not support."""
 
     def __init__(self, command: str) -> None:
-        super().__init__(f"unsupported command {command}")
+        super().__init__(f"the worker does not support the command {command}")
--- a/testbed/gateway_configuration.py
+++ b/testbed/gateway_configuration.py
@@ -1,4 +1,4 @@
-"""Gateway configurations and endpoint lists of an experiment, in the form of the configuration file."""
+"""Creates the configuration files of the gateways and the endpoint list of an experiment."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 ENDPOINTS_PER_CELL = 6
 SAFE_CLASS_NAME = "read"
 UNSAFE_CLASS_NAME = "order"
-UNSAFE_CLASS_INTERVAL = 4  # every fourth request may not be repeated
-REQUEST_UNIT_CHOICES = (1, 2, 3)  # equally frequent
+UNSAFE_CLASS_INTERVAL = 4  # every fourth request is of the unsafe class, which must not be retried
+REQUEST_UNIT_CHOICES = (1, 2, 3)  # units of a request, chosen with equal probability
 MAX_REQUEST_UNITS = 6
-BUCKET_CAPACITY_REFILL_S = 4.0  # seconds of refill that a token bucket holds
+BUCKET_CAPACITY_REFILL_S = 4.0  # a full token bucket holds the refill of this time
 REQUEST_DEADLINE_MS = 4000.0
 PLAN_NAME = "team"
 MAX_SOCKETS = 1024
@@ -38,15 +38,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class FleetConfiguration:
-    """What the configurations of all gateways of a fleet share.
+    """Configuration that all gateways of a fleet share.
 
     Attributes:
         fleet_size: Number of gateways.
         discovery_address: HOST:PORT of discovery.
         counter_address: HOST:PORT of the counter.
-        discovery_by_polling: Whether discovery sends the list only on request.
+        discovery_by_polling: Whether all gateways poll one discovery service, instead of an agent on the
+            machine of each gateway.
         seed: Seed of the experiment.
-        refill: Units a second of each tenant's quota.
+        refill: Rate of each tenant's quota, in units per second.
     """
 
     fleet_size: int
@@ -58,7 +59,7 @@
 
 
 def request_class_name(request_number: int) -> str:
-    """Return the class of the request with this serial number."""
+    """Return the name of the request class of the request with this number."""
     return SAFE_CLASS_NAME if request_number % UNSAFE_CLASS_INTERVAL else UNSAFE_CLASS_NAME
 
 
@@ -66,20 +67,20 @@
     """Return the capacity of a tenant's token bucket, in units.
 
     Args:
-        refill: Units a second that the token bucket gains.
+        refill: Refill rate of the token bucket, in units per second.
 
     Returns:
-        Some seconds of refill, and never less than the largest request.
+        The refill of `BUCKET_CAPACITY_REFILL_S`, but at least the units of the largest request.
     """
     return max(BUCKET_CAPACITY_REFILL_S * refill, float(MAX_REQUEST_UNITS))
 
 
 def create_instances(count: int, addresses: list[str]) -> list[Instance]:
-    """Create endpoints spread over zones, cells and addresses.
+    """Create endpoints that are distributed evenly over zones, cells and addresses.
 
     Args:
         count: Number of endpoints.
-        addresses: HOST:PORT of the sockets that respond for them.
+        addresses: HOST:PORT of the listening sockets that the endpoints share.
 
     Returns:
         The endpoints.
@@ -96,11 +97,11 @@
     """Create the content of one gateway's configuration file.
 
     Args:
-        fleet: What all gateways share.
-        index: Number of the gateway in the fleet.
+        fleet: Configuration that all gateways of the fleet share.
+        index: Index of the gateway in the fleet.
 
     Returns:
-        The object to encode as JSON.
+        The content, to be encoded as JSON.
     """
     return {
         "name": f"n{index}",
--- a/testbed/http_server.py
+++ b/testbed/http_server.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 server for the emulated systems, with pipelining (RFC 9112, section 9.3.2)."""
+"""HTTP/1.1 server of the emulated systems, with pipelining (RFC 9112, section 9.3.2)."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
     Args:
         status: Status code.
-        body: The content.
-        headers: Further header lines, each with its CRLF.
+        body: The response body.
+        headers: Header lines besides Content-Length, each with its CRLF.
 
     Returns:
-        The bytes of the response, with its Content-Length.
+        The bytes of the response.
     """
     return b"HTTP/1.1 %d %b\r\n%bContent-Length: %d\r\n\r\n%b" % (
         status,
@@ -33,11 +33,13 @@
 
 
 class Request:
-    """One request, which gets one response; responses leave in the order of the requests.
+    """A request that waits for its response.
+
+    The responses on a connection are sent in the order of its requests.
 
     Attributes:
         target: The request target.
-        response: The encoded response once there is one.
+        response: The encoded response; None until `respond` is called.
     """
 
     __slots__ = ("_connection", "response", "target")
@@ -48,12 +50,16 @@
         self.response: bytes | None = None
 
     def respond(self, response: bytes) -> None:
-        """Respond with the bytes that `encode_response` made."""
+        """Send the response, or keep it until all earlier requests on the connection have theirs.
+
+        Args:
+            response: The result of `encode_response`.
+        """
         self.response = response
         self._connection.send_ready_responses()
 
     def is_connected(self) -> bool:
-        """Return whether the sender can still receive a response."""
+        """Return whether the client can still receive a response."""
         return not self._connection.transport.is_closing()
 
 
@@ -69,7 +75,7 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """One downstream connection."""
+    """A downstream connection."""
 
     def __init__(self, handle: Callable[[Request], None], traffic: TrafficStatistics) -> None:
         self._handle, self._traffic = handle, traffic
@@ -79,7 +85,7 @@
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Count the new connection."""
+        """Store the transport and count the connection."""
         self.transport = transport
         self._traffic.connections_opened += 1
         self._traffic.connections_open += 1
@@ -90,7 +96,7 @@
         self._requests.clear()
 
     def data_received(self, data: bytes) -> None:
-        """Parse requests; a malformed one gets status 400 and ends the connection."""
+        """Parse requests; after a malformed one, send status 400 and close the connection."""
         self._traffic.bytes_received += len(data)
         try:
             self._parser.feed_data(data)
@@ -99,22 +105,22 @@
             self.transport.close()
 
     def on_message_begin(self) -> None:
-        """Begin a request (parser callback)."""
+        """Start a new request target (parser callback)."""
         self._target = b""
 
     def on_url(self, url: bytes) -> None:
-        """Collect the request target (parser callback)."""
+        """Collect a part of the request target (parser callback)."""
         self._target += url
 
     def on_message_complete(self) -> None:
-        """Hand the request to the server (parser callback)."""
+        """Pass the complete request to the server (parser callback)."""
         self._traffic.requests += 1
         request = Request(self, self._target.decode("latin-1"))
         self._requests.append(request)
         self._handle(request)
 
     def send_ready_responses(self) -> None:
-        """Write each response that waits for no earlier one."""
+        """Send the responses that are ready, up to the first request without one."""
         while self._requests and self._requests[0].response is not None:
             data = self._requests.popleft().response
             self._traffic.bytes_sent += len(data)
@@ -129,9 +135,9 @@
 
     Args:
         handle: Called with each request.
-        traffic: Counts what the server receives and sends.
+        traffic: The statistics that the server updates.
         host: Address to listen on.
-        port: Port to listen on; 0 for any free one.
+        port: Port to listen on; 0 for any free port.
 
     Returns:
         The listening server.
--- a/testbed/latency.py
+++ b/testbed/latency.py
@@ -1,4 +1,4 @@
-"""Histograms of the latency that gateways add, recorded in several processes and merged."""
+"""Histograms of latency that are recorded in several processes and merged."""
 
 from __future__ import annotations
 
@@ -18,7 +18,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LatencyPercentiles:
-    """Percentiles in milliseconds, and the number of recorded values."""
+    """Percentiles of latency.
+
+    Attributes:
+        p50: Median in milliseconds.
+        p99: 99th percentile in milliseconds.
+        p999: 99.9th percentile in milliseconds.
+        count: Number of recorded latencies.
+    """
 
     p50: float
     p99: float
@@ -27,13 +34,13 @@
 
 
 class LatencyRecorder:
-    """Records latencies from a microsecond to a minute with three significant digits."""
+    """Records latencies between 1 microsecond and 60 seconds with three significant digits."""
 
     def __init__(self) -> None:
         self._histogram = _new_histogram()
 
     def record(self, latency_s: float) -> None:
-        """Record a latency; a value out of range counts as the nearest bound.
+        """Record a latency; one that is out of range is recorded as the nearest bound.
 
         Args:
             latency_s: The latency in seconds.
@@ -45,18 +52,18 @@
         return self._histogram.get_total_count()
 
     def encode(self) -> str:
-        """Return the histogram as text for `merge_percentiles`."""
+        """Return the histogram encoded as text, for `merge_percentiles`."""
         return self._histogram.encode().decode()
 
 
 def merge_percentiles(encoded_histograms: Iterable[str]) -> LatencyPercentiles | None:
-    """Merge histograms of several processes.
+    """Merge the histograms of several processes, and compute the percentiles.
 
     Args:
         encoded_histograms: Results of `LatencyRecorder.encode`.
 
     Returns:
-        Percentiles over all values, or None without any value.
+        The percentiles over all recorded latencies; None if there are none.
     """
     merged = _new_histogram()
     for encoded in encoded_histograms:
--- a/testbed/linear_fit.py
+++ b/testbed/linear_fit.py
@@ -1,4 +1,4 @@
-"""Least-squares lines through a few measured points."""
+"""Fits of a line to measured points by least squares."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
     Attributes:
         intercept: Value of the line at x = 0, in the unit of y.
-        slope: Units of y for each unit of x.
-        residual_deviation: Standard deviation of the residuals, with two degrees of freedom less than there
-            are points, in the unit of y.
+        slope: Increase of y for each unit of x.
+        residual_deviation: Standard deviation of the residuals, in the unit of y. Its degrees of freedom are
+            the number of points minus two, since intercept and slope are fitted.
     """
 
     intercept: float
@@ -29,8 +29,8 @@
     """Fit a line by least squares.
 
     Args:
-        xs: At least three values.
-        ys: As many values as `xs`.
+        xs: The x values of the points; at least three.
+        ys: The y values of the points; as many as `xs`.
 
     Returns:
         The fitted line.
@@ -39,7 +39,9 @@
         ValueError: There are fewer than three points, or the lengths differ.
     """
     if len(xs) < MIN_POINTS or len(xs) != len(ys):
-        raise ValueError("a slope needs three sizes or more")
+        raise ValueError(
+            f"a line fit needs three sizes or more, each with a value: got {len(xs)} and {len(ys)}"
+        )
     slope, intercept = statistics.linear_regression(xs, ys)
     residuals = [y - intercept - slope * x for x, y in zip(xs, ys, strict=True)]
     variance = sum(residual * residual for residual in residuals) / (len(xs) - 2)
--- a/testbed/load_generator.py
+++ b/testbed/load_generator.py
@@ -1,6 +1,7 @@
-"""Open-loop load over TCP connections: arrivals do not wait for responses.
+"""Open-loop load generator for real gateways, over TCP connections.
 
-The latency of a response counts from the time at which its request was due.
+Requests are sent when they are due, without waiting for responses. Latency is measured from the time at which
+a request was due, so it includes the delay of a request that is sent late.
 """
 
 from __future__ import annotations
@@ -16,30 +17,30 @@
 from testbed import gateway_configuration
 from testbed.latency import LatencyRecorder
 
-FINAL_RESPONSE_WAIT_S = 1.0  # how long to wait for responses after the load
+FINAL_RESPONSE_WAIT_S = 1.0  # time for the last responses to arrive after the load
 
 
 @dataclass(frozen=True, slots=True)
 class GatewayAddress:
-    """Address that a gateway listens on."""
+    """Address on which a gateway listens."""
 
     host: str
     port: int
 
 
 class _ClientConnection(asyncio.Protocol):
-    """One persistent connection, which carries one request at a time."""
+    """A persistent connection to a gateway, with at most one request in flight."""
 
     def __init__(self, generator: LoadGenerator, address: GatewayAddress) -> None:
         self._generator = generator
         self.address = address
         self._parser = httptools.HttpResponseParser(self)
         self._body = b""
-        self._due_at: float | None = None  # None: no request is in flight
+        self._due_at: float | None = None  # None while no request is in flight
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = transport
 
     def send(self, due_at: float, request: bytes) -> None:
@@ -53,14 +54,14 @@
         self._transport.write(request)
 
     def data_received(self, data: bytes) -> None:
-        """Parse the response; a malformed one ends the connection."""
+        """Parse received bytes; abort the connection if they are not valid HTTP."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
             self._transport.abort()
 
     def on_body(self, data: bytes) -> None:
-        """Collect the content (parser callback)."""
+        """Collect a part of the response body (parser callback)."""
         self._body += data
 
     def on_message_complete(self) -> None:
@@ -74,17 +75,17 @@
             self._transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Remove the connection from the idle ones."""
+        """Remove the connection from the idle connections of the generator."""
         self._generator.connection_lost(self)
 
 
 class LoadGenerator:
-    """Generates the load on gateway processes.
+    """Generates load on real gateways.
 
     Attributes:
-        added_latency: Latency beyond the endpoint's service time.
-        requests_sent: Requests so far.
-        requests_served: Responses with status 200 so far.
+        added_latency: Latency beyond the endpoint's service time, of each served request.
+        requests_sent: Number of requests since the start.
+        requests_served: Number of responses with status 200 since the start.
     """
 
     def __init__(
@@ -100,9 +101,9 @@
 
         Args:
             addresses: Addresses of the gateways.
-            fleet_size: Number of all gateways, for the quota headers.
+            fleet_size: Number of gateways in the fleet, sent in each request's Quota-Info header.
             tenants: Number of tenants that requests belong to.
-            requests_per_s: Requests a second to each gateway.
+            requests_per_s: Mean requests per second to each gateway.
             seed: Seed of the random generator.
         """
         self._addresses, self._fleet_size, self._tenants = addresses, fleet_size, tenants
@@ -132,12 +133,12 @@
         await asyncio.sleep(FINAL_RESPONSE_WAIT_S)
 
     def response_received(self, due_at: float, status: int, body: bytes) -> None:
-        """Count one response.
+        """Count one response, and record its latency if it has status 200.
 
         Args:
             due_at: Time at which the request was due, in seconds by `time.monotonic`.
             status: Status code.
-            body: Content; an endpoint sends its service time in microseconds.
+            body: Response body; an endpoint's response contains its service time in microseconds.
         """
         if status == 200 and body.isdigit():
             self.requests_served += 1
@@ -148,7 +149,7 @@
         self._idle_connections[connection.address].append(connection)
 
     def connection_lost(self, connection: _ClientConnection) -> None:
-        """Forget a closed connection."""
+        """Remove a closed connection from the idle connections."""
         if connection in self._idle_connections[connection.address]:
             self._idle_connections[connection.address].remove(connection)
 
@@ -168,7 +169,7 @@
                 lambda: _ClientConnection(self, address), address.host, address.port
             )
         except OSError:
-            return  # the request counts as sent and not as served
+            return  # the request is counted as sent, but not as served
         connection.send(due_at, self._encode_request())
 
     def _encode_request(self) -> bytes:
--- a/testbed/messages.py
+++ b/testbed/messages.py
@@ -1,7 +1,7 @@
-"""Messages between an experiment and its worker processes, each one line of JSON.
+"""Messages between an experiment and its worker processes.
 
-The first line to a worker is its configuration, each further line a command; the worker replies to each
-with one line.
+Each message is one line of JSON. The first line to a worker is its configuration, and each further line is a
+command. The worker replies to each line with one line.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 
 
 class Message(msgspec.Struct, frozen=True, tag=True):
-    """Base of all messages; the tag is the name of the class."""
+    """Base of all messages. The JSON key `type` holds the name of the class."""
 
 
 class DiscoveryConfig(Message, kw_only=True):
-    """Run discovery.
+    """Configuration of a worker that runs discovery.
 
     Attributes:
         instances: The endpoint list.
-        calls_per_s: Calls a second that it processes; 0 to respond to each at once.
+        calls_per_s: Calls per second that discovery processes; 0 to respond to each call at once.
     """
 
     instances: list[Instance]
@@ -29,21 +29,21 @@
 
 
 class CounterConfig(Message, kw_only=True):
-    """Run the counter.
+    """Configuration of a worker that runs the counter.
 
     Attributes:
-        calls_per_s: Calls a second that it processes.
+        calls_per_s: Calls per second that the counter processes.
     """
 
     calls_per_s: float
 
 
 class EndpointConfig(Message, kw_only=True):
-    """Run endpoints.
+    """Configuration of a worker that runs endpoints.
 
     Attributes:
         ports: Number of listening sockets.
-        seed: Seed of the service times.
+        seed: Seed of the random service times.
     """
 
     ports: int
@@ -51,15 +51,16 @@
 
 
 class SimulatedGatewaysConfig(Message, kw_only=True):
-    """Run some of the simulated gateways with their load.
+    """Configuration of a worker that runs some of the simulated gateways and generates their load.
 
     Attributes:
-        fleet: What all gateways share.
-        first_index: Number of the first gateway.
-        count: Number of gateways.
+        fleet: Configuration that all gateways of the fleet share.
+        first_index: Index of the worker's first gateway in the fleet.
+        count: Number of gateways that the worker runs.
         tenants: Number of tenants that requests belong to.
-        requests_per_s: Mean requests a second to each gateway.
-        traffic_share_shape: Shape of the gamma distribution of the gateways' shares of the traffic.
+        requests_per_s: Mean requests per second to each gateway.
+        traffic_share_shape: Shape parameter of the gamma distribution that the gateways' shares of the
+            traffic are drawn from.
     """
 
     fleet: FleetConfiguration
@@ -71,13 +72,13 @@
 
 
 class LoadGeneratorConfig(Message, kw_only=True):
-    """Generate load on gateway processes.
+    """Configuration of a worker that generates load on real gateways.
 
     Attributes:
-        addresses: HOST:PORT of each gateway.
-        fleet_size: Number of all gateways.
+        addresses: HOST:PORT of each real gateway.
+        fleet_size: Number of gateways in the fleet, simulated and real.
         tenants: Number of tenants that requests belong to.
-        requests_per_s: Requests a second to each gateway.
+        requests_per_s: Mean requests per second to each real gateway.
         seed: Seed of the random generator.
     """
 
@@ -94,50 +95,52 @@
 
 
 class ReplaceEndpoints(Message, kw_only=True):
-    """Replace the oldest endpoints by new ones (discovery).
+    """Command to discovery: replace the oldest endpoints with new ones.
 
     Attributes:
-        count: Number of endpoints.
+        count: Number of endpoints to replace.
     """
 
     count: int
 
 
 class SetRejectedShare(Message, kw_only=True):
-    """Reject a part of the calls (counter).
+    """Command to the counter: reject a fraction of the calls from now on.
 
     Attributes:
-        share: From 0 to 1.
+        share: The fraction, from 0 to 1.
     """
 
     share: float
 
 
 class ReadStatistics(Message):
-    """Read the statistics (discovery, counter, endpoints)."""
+    """Command to discovery, the counter or endpoints: return the statistics."""
 
 
 class CountReady(Message):
-    """Count the gateways that are ready (simulated gateways)."""
+    """Command to simulated gateways: return the number of gateways that are ready."""
 
 
 class CountOutdated(Message, kw_only=True):
-    """Count the gateways that do not know a generation of the endpoint list yet (simulated gateways).
+    """Command to simulated gateways: return the number of gateways with an outdated endpoint list.
 
     Attributes:
-        generation: The generation.
+        generation: A list of an earlier generation is outdated.
     """
 
     generation: int
 
 
 class RunLoad(Message, kw_only=True):
-    """Generate load (simulated gateways, load generator).
+    """Command to simulated gateways or the load generator: generate load.
+
+    The load generator uses only `seconds`.
 
     Attributes:
         seconds: Duration of the load.
-        bypass_gateways: Whether simulated clients get their responses at once, without a gateway.
-        include_requests: Whether the result holds what simulated gateways forwarded of each tenant.
+        bypass_gateways: Whether each simulated client gets its response at once, without a gateway.
+        include_requests: Whether the result lists the forwarded requests and each tenant's requested units.
     """
 
     seconds: float
@@ -149,21 +152,21 @@
 
 
 class Started(Message, kw_only=True):
-    """The worker runs.
+    """Reply to the configuration: the worker is running.
 
     Attributes:
-        addresses: HOST:PORT of each listening socket.
+        addresses: HOST:PORT of each listening socket; empty for a worker that does not listen.
     """
 
     addresses: list[str] = []
 
 
 class ServerStatistics(Message, kw_only=True):
-    """Statistics of an emulated system since its start.
+    """Statistics of discovery, the counter or endpoints since the start of the worker.
 
     Attributes:
         requests: Requests received.
-        bytes: Bytes received and sent.
+        bytes: Number of bytes received and sent.
         connections_opened: Connections accepted.
         connections_open: Connections open now.
     """
@@ -190,7 +193,7 @@
     """Statistics of the counter.
 
     Attributes:
-        calls: Valid calls.
+        calls: Well-formed calls, including the rejected ones.
         rejected_calls: Calls that got status 503.
     """
 
@@ -199,22 +202,22 @@
 
 
 class GatewayCount(Message, kw_only=True):
-    """Number of gateways in the state that the command names.
+    """Reply to `CountReady` and `CountOutdated`.
 
     Attributes:
-        count: The number.
+        count: Number of gateways.
     """
 
     count: int
 
 
 class LoadResult(Message, kw_only=True):
-    """What came of a load.
+    """Reply to `RunLoad`.
 
     Attributes:
-        requests_sent: Requests.
-        requests_served: Responses with status 200.
-        added_latency: Encoded histogram of the latency that the gateways added, since the start.
+        requests_sent: Number of requests.
+        requests_served: Number of responses with status 200.
+        added_latency: Encoded histogram of the latency that the gateways added since the start of the worker.
     """
 
     requests_sent: int
@@ -223,14 +226,15 @@
 
 
 class SimulatedLoadResult(LoadResult, kw_only=True):
-    """What came of a load on simulated gateways.
+    """Reply to `RunLoad` from simulated gateways.
 
     Attributes:
-        connects: Connections opened to endpoints.
-        open_connections: Connections open at the end.
-        attempts_by_endpoint: Attempts that reached each endpoint.
-        forwarded: Time (Unix time in seconds), tenant and units of each first attempt, if included.
-        requested_units: Units requested by each tenant, if included.
+        connects: Connections opened to endpoints during the load.
+        open_connections: Connections to endpoints that are open after the load.
+        attempts_by_endpoint: Number of attempts that each endpoint received, by endpoint name.
+        forwarded: For each first attempt its Unix time in seconds, tenant and units; empty unless the command
+            asked for requests.
+        requested_units: Units requested by each tenant; empty unless the command asked for requests.
     """
 
     connects: int
--- a/testbed/process.py
+++ b/testbed/process.py
@@ -1,4 +1,4 @@
-"""The processes of an experiment: started, sent commands, measured, and each ended by its id."""
+"""Starts the processes of an experiment, sends them commands, measures them and ends them by process id."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from testbed.messages import Command, Reply, Started, WorkerConfig
 
 PROJECT_ROOT = Path(__file__).parent.parent
-MAX_REPLY_LINE_BYTES = 256 * 1024 * 1024
+MAX_REPLY_LINE_BYTES = 256 * 1024 * 1024  # the result of a load can list every forwarded request
 MAX_STDERR_TAIL_BYTES = 2000
 START_TIMEOUT_S = 60.0
 COMMAND_TIMEOUT_S = 60.0
-EXIT_TIMEOUT_S = 3.0  # how long a process may take to end by itself
+EXIT_TIMEOUT_S = 3.0  # a process that has not exited by then is killed
 NANOSECONDS_PER_S = 1e9
 
 ReplyT = TypeVar("ReplyT", bound=Reply)
@@ -40,7 +40,7 @@
 
 
 class ChildProcess:
-    """One process.
+    """A worker process or a real gateway.
 
     Attributes:
         role: What the process runs.
@@ -59,7 +59,7 @@
 
     @property
     def stderr_tail(self) -> bytes:
-        """The end of what the process wrote to standard error."""
+        """The last `MAX_STDERR_TAIL_BYTES` bytes that the process wrote to standard error."""
         return self._stderr_tail
 
     async def execute(
@@ -81,7 +81,7 @@
         return await self._exchange(command, reply_type, timeout_s)
 
     async def configure(self, config: WorkerConfig) -> Started:
-        """Send a worker its configuration, and wait until it runs.
+        """Send a worker its configuration, and wait until the worker is running.
 
         Raises:
             ProcessError: The process ended or did not reply in time.
@@ -95,31 +95,31 @@
         try:
             line = await asyncio.wait_for(self._process.stdout.readline(), timeout_s)
         except TimeoutError:
-            raise ProcessError(self.role.value, f"no reply in {timeout_s:g} s") from None
+            raise ProcessError(self.role.value, f"no reply within {timeout_s:g} s") from None
         if not line:
             raise ProcessError(self.role.value, f"process ended: {self._last_stderr_line()}")
         return msgspec.json.decode(line, type=reply_type)
 
     def cpu_s(self) -> float:
-        """Return the processor time of all threads so far, in seconds."""
+        """Return the processor time that all running threads have used, in seconds."""
         schedstats = Path(f"/proc/{self.pid}/task").glob("*/schedstat")
         return sum(int(path.read_text().split()[0]) for path in schedstats) / NANOSECONDS_PER_S
 
     def memory_mb(self) -> float:
-        """Return the resident memory in MiB."""
+        """Return the resident memory, in MiB."""
         for line in Path(f"/proc/{self.pid}/status").read_text().splitlines():
             if line.startswith("VmRSS:"):
                 return int(line.split()[1]) / 1024
         return 0.0
 
     def request_exit(self) -> None:
-        """Ask the process to end: a worker by the end of its input, a gateway by SIGTERM."""
+        """Request the process to exit: close the input of a worker, send SIGTERM to a gateway."""
         self._process.stdin.close()
         if self.role is ProcessRole.REAL_GATEWAY and self._process.returncode is None:
             self._process.send_signal(signal.SIGTERM)
 
     async def wait_or_kill(self) -> None:
-        """Wait until the process ends; kill it after `EXIT_TIMEOUT_S`."""
+        """Wait until the process exits; kill it after `EXIT_TIMEOUT_S` or when the wait is canceled."""
         try:
             await asyncio.wait_for(self._process.wait(), EXIT_TIMEOUT_S)
         except (TimeoutError, asyncio.CancelledError):
@@ -138,10 +138,10 @@
 
 
 class ProcessGroup:
-    """Async context manager that ends each of its processes on exit, also after an error or Ctrl-C.
+    """Async context manager that ends all its processes on exit, also after an error or Ctrl-C.
 
     Attributes:
-        processes: The running processes.
+        processes: The processes that were started and not ended yet.
     """
 
     def __init__(self, max_processes: int) -> None:
@@ -166,11 +166,11 @@
             self.processes.remove(process)
 
     async def start_worker(self, role: ProcessRole, config: WorkerConfig) -> tuple[ChildProcess, Started]:
-        """Start a worker, and wait until it runs.
+        """Start a worker, and wait until it is running.
 
         Raises:
             ProcessError: The worker ended or did not reply in time.
-            ProcessLimitError: There are too many processes.
+            ProcessLimitError: The group already has its maximum of processes.
         """
         process = await self._start(role, [sys.executable, "-m", "testbed.worker"], {})
         return process, await process.configure(config)
@@ -180,10 +180,10 @@
 
         Args:
             command: The shell command.
-            configuration: Its configuration file.
+            configuration: Path of the gateway's configuration file.
 
         Raises:
-            ProcessLimitError: There are too many processes.
+            ProcessLimitError: The group already has its maximum of processes.
         """
         return await self._start(
             ProcessRole.REAL_GATEWAY, ["/bin/sh", "-c", command], {"ROUTER_CONFIG": str(configuration)}
@@ -202,7 +202,7 @@
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.PIPE,
             limit=MAX_REPLY_LINE_BYTES,
-            start_new_session=True,  # Ctrl-C on the terminal reaches this process alone
+            start_new_session=True,  # Ctrl-C on the terminal interrupts only this process
         )
         child = ChildProcess(role, process)
         self.processes.append(child)
--- a/testbed/quota_accounting.py
+++ b/testbed/quota_accounting.py
@@ -1,4 +1,8 @@
-"""Accounting of forwarded requests against each tenant's exact token bucket, after the run."""
+"""Accounts for forwarded requests with an exact token bucket per tenant, after a load has ended.
+
+The gateways only estimate the remaining quotas during the load. This accounting knows the requests of all
+gateways, and shows how many units were forwarded over quota.
+"""
 
 from __future__ import annotations
 
@@ -8,10 +12,10 @@
 
 
 class ForwardedRequest(NamedTuple):
-    """The first attempt of a request, which takes the request's units from the quota.
+    """The first attempt of a request. Later attempts take no further units from the quota.
 
     Attributes:
-        sent_at_s: Unix time of the attempt, in seconds.
+        sent_at_s: Unix time at which the attempt was sent, in seconds.
         tenant: Number of the tenant.
         units: Quota units of the request.
     """
@@ -23,12 +27,12 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaUsage:
-    """What a fleet forwarded, compared with the quotas.
+    """Units that a fleet forwarded, compared with the quotas of all tenants.
 
     Attributes:
-        units_within_quota: Units forwarded that the token buckets held.
-        units_over_quota: Units forwarded beyond them.
-        units_allowed: Units that the quotas allow of what was requested.
+        units_within_quota: Units forwarded while the tenant's token bucket held enough tokens.
+        units_over_quota: Units forwarded while the tenant's token bucket held too few tokens.
+        units_allowed: Units that the quotas allow, at most the requested units of each tenant.
     """
 
     units_within_quota: float
@@ -44,19 +48,19 @@
     burst: float,
     seconds: float,
 ) -> QuotaUsage:
-    """Account requests to token buckets that start full.
+    """Account for requests with token buckets that are full at the start.
 
     Args:
         forwarded: First attempts of all gateways together, in any order.
         requested_units: Units requested by each tenant.
-        refill: Units a second that each token bucket gains.
+        refill: Refill rate of each token bucket, in units per second.
         burst: Capacity of each token bucket, in units.
         seconds: Duration of the load.
 
     Returns:
         The units within and over the quotas, and those that the quotas allow.
     """
-    buckets: dict[int, tuple[float, float]] = {}  # tokens, and the time of that level in seconds
+    buckets: dict[int, tuple[float, float]] = {}  # by tenant: tokens, and their Unix time in seconds
     units_within_quota = units_over_quota = 0.0
     for sent_at_s, tenant, units in sorted(forwarded):
         tokens, updated_at_s = buckets.get(tenant, (burst, sent_at_s))
--- a/testbed/scale/__init__.py
+++ b/testbed/scale/__init__.py
@@ -1,1 +1,1 @@
-"""The scale experiment: one fleet with endpoint lists of three sizes, idle and under load."""
+"""The scale experiment: measures a fleet with endpoint lists of three sizes, without load and under load."""
--- a/testbed/scale/experiment.py
+++ b/testbed/scale/experiment.py
@@ -1,4 +1,9 @@
-"""The scale experiment: one fleet after another, with endpoint lists of growing size."""
+"""The scale experiment: runs a fleet with each size of the endpoint list and measures it.
+
+For each size, all processes are started anew. The fleet is measured without load, under load, and while some
+endpoints are replaced. With the largest list, it is also measured how many units are forwarded over quota
+while the counter rejects calls.
+"""
 
 from __future__ import annotations
 
@@ -35,15 +40,14 @@
 from testbed.scale.report import EndpointReplacement, QuotaFigures, Report, SizeFigures
 
 MAX_PROCESSES = 300
-SETTLING_TIME_S = 0.5  # between the start and the measurement without load
-MIN_IDLE_INTERVAL_S = 1.0
-CALIBRATION_LOAD_S = 0.5
-MIN_QUOTA_LOAD_S = 5.0
-REPLACED_ENDPOINT_DIVISOR = 50  # one of so many endpoints is replaced
+SETTLING_TIME_S = 0.5  # delay between the start of the fleet and the measurement without load
+MIN_IDLE_INTERVAL_S = 1.0  # shortest measurement without load
+CALIBRATION_LOAD_S = 0.5  # duration of the load that bypasses the gateways
+MIN_QUOTA_LOAD_S = 5.0  # shortest load for the measurement of quotas
+REPLACED_ENDPOINT_DIVISOR = 50  # an endpoint replacement affects 1/50 of the endpoints
 PROPAGATION_POLL_INTERVAL_S = 0.01
-MEASUREMENT_AFTER_PROPAGATION_S = (
-    1.0  # how long the cost of a replacement is measured after all gateways know it
-)
+# The cost of an endpoint replacement is measured until this time after all gateways have received the change.
+MEASUREMENT_AFTER_PROPAGATION_S = 1.0
 NOTES = (
     "All processes ran on one machine: compare slopes, not single figures.",
     'Simulated ("hollow") gateways have no client or endpoint sockets; the cost of these shows at the real'
@@ -55,19 +59,19 @@
 
 
 def run_experiment(plan: Plan, command: Sequence[str], show_status: StatusCallback) -> Report:
-    """Run the experiment; SIGINT and SIGTERM end all processes first.
+    """Run the experiment. On SIGINT or SIGTERM, end all its processes before raising `CancelledError`.
 
     Args:
-        plan: What to run.
+        plan: Parameters of the experiment.
         command: The command line, for the report.
-        show_status: Called with what runs now.
+        show_status: Called with a description of each step when it starts.
 
     Returns:
         The report.
 
     Raises:
         ExperimentError: The experiment failed.
-        asyncio.CancelledError: A signal interrupted it.
+        asyncio.CancelledError: SIGINT or SIGTERM interrupted the experiment.
     """
     with contextlib.closing(asyncio.new_event_loop()) as loop:
         task = loop.create_task(_run(plan, command, show_status))
@@ -108,19 +112,20 @@
         """Initialize the experiment.
 
         Args:
-            fleet: A fleet that is not started yet.
-            show_status: Called with what runs now.
+            fleet: The fleet to measure, not yet started.
+            show_status: Called with a description of each step when it starts.
         """
         self._fleet, self._plan = fleet, fleet.plan
         self._show_status = show_status
 
     async def run(self) -> SizeFigures:
-        """Start the fleet, measure it idle and under load, then replace some endpoints.
+        """Start the fleet, measure it without load and under load, then replace some endpoints.
 
         Raises:
-            NoRequestServedError: No request was served.
-            ExperimentTimeoutError: The fleet did not reach a state in time.
+            NoRequestServedError: No request of the load was served.
+            ExperimentTimeoutError: The fleet was not ready, or did not receive a change, in time.
             ProcessError: A process ended or did not reply in time.
+            ProcessLimitError: The fleet needs more processes than the limit.
         """
         fleet, plan = self._fleet, self._plan
         self._show_progress(
@@ -144,10 +149,14 @@
         )
 
     async def measure_quotas(self) -> QuotaFigures:
-        """Measure what is forwarded over quotas while the counter rejects calls."""
+        """Measure how many units are forwarded over quota while the counter rejects calls.
+
+        Raises:
+            ProcessError: A process ended or did not reply in time.
+        """
         fleet, plan = self._fleet, self._plan
         seconds = max(plan.load_s, MIN_QUOTA_LOAD_S)
-        self._show_progress(f"load with {plan.counter_rejected_fraction:.0%} of the counter's calls rejected")
+        self._show_progress(f"quotas with {plan.counter_rejected_fraction:.0%} of counter calls rejected")
         counter_before = await fleet.counter.execute(
             SetRejectedShare(share=plan.counter_rejected_fraction), CounterStatistics
         )
@@ -174,16 +183,16 @@
 
     async def _measure_load(self) -> LoadMeasurement:
         fleet, plan = self._fleet, self._plan
-        self._show_progress("idle")
+        self._show_progress("measurement without load")
         idle_start = await take_snapshot(fleet)
         await asyncio.sleep(max(plan.load_s / 2, MIN_IDLE_INTERVAL_S))
         idle_end = await take_snapshot(fleet)
-        self._show_progress("cost of the load generation")
+        self._show_progress("measurement of the cost of load generation")
         calibration_results = await fleet.run_simulated_load(
             RunLoad(seconds=CALIBRATION_LOAD_S, bypass_gateways=True)
         )
         calibration_end = await take_snapshot(fleet)
-        self._show_progress(f"load for {plan.load_s:g} s")
+        self._show_progress(f"measurement under load for {plan.load_s:g} s")
         simulated_results, real_result = await fleet.run_load(plan.load_s)
         load_end = await take_snapshot(fleet)
         return LoadMeasurement(
@@ -220,7 +229,8 @@
         while await self._count_outdated(generation):
             if time.monotonic() - started_at > READY_TIMEOUT_S:
                 raise ExperimentTimeoutError(
-                    f"not all gateways knew a change of the endpoint list after {READY_TIMEOUT_S:g} s"
+                    f"not all simulated gateways received generation {generation} of the endpoint list "
+                    f"within {READY_TIMEOUT_S:g} s"
                 )
             await asyncio.sleep(PROPAGATION_POLL_INTERVAL_S)
         return time.monotonic() - started_at
@@ -236,7 +246,7 @@
 
 
 def _max_over_mean_load(results: Sequence[SimulatedLoadResult], endpoint_count: int) -> float:
-    """Attempts at the busiest endpoint, divided by the mean over all endpoints."""
+    """Return the attempts at the busiest endpoint, divided by the mean over all endpoints."""
     attempts: Counter[str] = Counter()
     for result in results:
         attempts.update(result.attempts_by_endpoint)
--- a/testbed/scale/fits.py
+++ b/testbed/scale/fits.py
@@ -1,4 +1,4 @@
-"""Lines over the sizes of the endpoint list, for the figures that may grow with it."""
+"""Fits a line to each figure that may grow with the size of the endpoint list."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 class _FittedFigure(NamedTuple):
     role: Role
-    attribute_name: str  # of RoleFigures
-    report_key: str  # in the report
+    attribute_name: str  # attribute of RoleFigures that holds the figure
+    report_key: str  # name of the figure in the report
     unit: str
 
 
@@ -33,17 +33,17 @@
     _FittedFigure(Role.DISCOVERY, "bytes_per_s", "bytes_per_s", "bytes/s"),
     _FittedFigure(Role.COUNTER, "requests_per_s", "messages_per_s", "1/s"),
 )
-FULL_LIST_FIGURE_NAME = "whole list"  # name in the report
+FULL_LIST_FIGURE_NAME = "whole list"
 
 
 def fit_sizes(sizes: Sequence[SizeFigures]) -> list[Fit]:
-    """Fit a line to each figure that has enough sizes.
+    """Fit a line to each figure that was measured with at least three sizes of the endpoint list.
 
     Args:
-        sizes: Figures by size of the endpoint list.
+        sizes: Figures for each size of the endpoint list; not empty.
 
     Returns:
-        The fits; none with fewer than three sizes.
+        The fits; empty if there are fewer than three sizes.
     """
     max_endpoints = max(size.endpoints for size in sizes)
     fits = []
--- a/testbed/scale/fleet.py
+++ b/testbed/scale/fleet.py
@@ -1,4 +1,4 @@
-"""All processes of a fleet with one size of the endpoint list."""
+"""Starts and controls the processes of a fleet with one size of the endpoint list."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
 COUNTER_CALLS_PER_S = 20_000.0
 ENDPOINT_PROCESSES = 2
 PORTS_PER_ENDPOINT_PROCESS = 32
-SIMULATED_ENDPOINT_ADDRESS = "127.0.0.1:9"  # of endpoints that only simulated gateways send to
-MIN_REFILL_UNITS_PER_S = 0.05  # units a second
+SIMULATED_ENDPOINT_ADDRESS = "127.0.0.1:9"  # simulated gateways never connect to it
+MIN_REFILL_UNITS_PER_S = 0.05
 READY_TIMEOUT_S = 120.0
 READY_POLL_INTERVAL_S = 0.05
 LISTENING_LOG_PATTERN = re.compile(rb"listening on 127\.0\.0\.1:(\d+)")
@@ -44,29 +44,29 @@
     """The processes of a fleet and of the systems around it.
 
     Attributes:
-        plan: The experiment.
+        plan: Parameters of the experiment.
         endpoint_count: Size of the endpoint list.
         process_group: All processes.
-        refill: Units a second of each tenant's quota.
-        endpoint_processes: Processes of the endpoints of real gateways.
-        discovery: Process of discovery.
-        counter: Process of the counter.
-        simulated_gateway_processes: Processes of simulated gateways.
-        real_gateway_processes: Processes of real gateways.
-        load_generator: Process of the load on real gateways, if there are any.
+        refill: Rate of each tenant's quota, in units per second.
+        endpoint_processes: The processes that run endpoints for the real gateways.
+        discovery: The process that runs discovery.
+        counter: The process that runs the counter.
+        simulated_gateway_processes: The processes that run simulated gateways, many in each.
+        real_gateway_processes: The real gateways, one process each.
+        load_generator: The process that sends requests to the real gateways; None without real gateways.
     """
 
     discovery: ChildProcess
     counter: ChildProcess
 
     def __init__(self, plan: Plan, endpoint_count: int, process_group: ProcessGroup, directory: Path) -> None:
-        """Initialize a fleet that `start` starts.
+        """Initialize the fleet without starting any process.
 
         Args:
-            plan: The experiment.
+            plan: Parameters of the experiment.
             endpoint_count: Size of the endpoint list.
-            process_group: Ends the processes.
-            directory: Where the configuration files of real gateways are written.
+            process_group: Group that the processes are started in, and that ends them.
+            directory: Directory for the configuration files of the real gateways.
         """
         self.plan, self.endpoint_count, self.process_group = plan, endpoint_count, process_group
         self._directory = directory
@@ -83,10 +83,11 @@
         """Start all processes.
 
         Returns:
-            Seconds from the start of the first gateway until all were ready.
+            The time from the start of the first gateway until all gateways were ready, in seconds.
 
         Raises:
             ExperimentTimeoutError: Not all gateways were ready in time.
+            ProcessLimitError: The fleet needs more processes than the limit.
             ProcessError: A process ended or did not reply in time.
         """
         endpoint_addresses = await self._start_endpoints()
@@ -107,7 +108,11 @@
             seconds: Duration of the load.
 
         Returns:
-            The results of each process of simulated gateways, and that of the real gateways, if any.
+            The result of each process of simulated gateways, and the result of the load on the real gateways
+            (None without real gateways).
+
+        Raises:
+            ProcessError: A process ended or did not reply in time.
         """
         command = RunLoad(seconds=seconds)
         if self.load_generator is None:
@@ -118,7 +123,11 @@
         )
 
     async def run_simulated_load(self, command: RunLoad) -> list[SimulatedLoadResult]:
-        """Generate load on simulated gateways alone, and return the result of each process."""
+        """Generate load on the simulated gateways only, and return the result of each of their processes.
+
+        Raises:
+            ProcessError: A process ended or did not reply in time.
+        """
         timeout_s = _load_command_timeout_s(command.seconds)
         return await asyncio.gather(
             *(
@@ -190,7 +199,8 @@
                 return addresses
             if time.monotonic() - started_at > READY_TIMEOUT_S:
                 raise ExperimentTimeoutError(
-                    f"{ready} of {expected} simulated gateways ready after {READY_TIMEOUT_S:g} s"
+                    f"{ready} of {expected} simulated gateways were ready and {len(addresses)} of "
+                    f"{self.plan.real_gateways} real gateways were listening after {READY_TIMEOUT_S:g} s"
                 )
             await asyncio.sleep(READY_POLL_INTERVAL_S)
 
--- a/testbed/scale/measurement.py
+++ b/testbed/scale/measurement.py
@@ -1,4 +1,4 @@
-"""Measurement of a fleet: processor time and traffic between two moments, and the figures of each role."""
+"""Measures processor time and traffic of a fleet, and computes the figures of each role."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """State of a fleet at one moment.
+    """Cumulative measurements of a fleet at one time.
 
     Attributes:
-        taken_at_s: The time by `time.monotonic`, in seconds.
-        cpu_s: Processor time of each process so far, in seconds.
+        taken_at_s: Time of the snapshot by `time.monotonic`, in seconds.
+        cpu_s: Processor time of each process since its start, in seconds.
         discovery: Statistics of discovery.
         counter: Statistics of the counter.
-        endpoint_connections_opened: Connections that the endpoints have accepted.
-        endpoint_connections_open: Connections that are open at the endpoints.
+        endpoint_connections_opened: Connections that all endpoint processes have accepted since their start.
+        endpoint_connections_open: Connections that are open at all endpoint processes.
     """
 
     taken_at_s: float
@@ -44,7 +44,11 @@
 
 
 async def take_snapshot(fleet: Fleet) -> Snapshot:
-    """Read the state of a fleet."""
+    """Read the statistics and the processor times of all processes of a fleet.
+
+    Raises:
+        ProcessError: A process ended or did not reply in time.
+    """
     discovery = await fleet.discovery.execute(ReadStatistics(), DiscoveryStatistics)
     counter = await fleet.counter.execute(ReadStatistics(), CounterStatistics)
     endpoints = [
@@ -73,21 +77,21 @@
         return self.end.taken_at_s - self.start.taken_at_s
 
     def cpu_s(self, processes: Iterable[ChildProcess]) -> float:
-        """Return the processor time that processes used, in seconds."""
+        """Return the processor time that the given processes used in this interval, in seconds."""
         return sum(self.end.cpu_s[process] - self.start.cpu_s[process] for process in processes)
 
 
 @dataclass(frozen=True, slots=True)
 class LoadMeasurement:
-    """All that is measured with one size of the endpoint list.
+    """Measurements without load and under load, with one size of the endpoint list.
 
     Attributes:
-        idle: Without load.
-        calibration: With load that bypasses the gateways.
-        load: With load.
-        calibration_results: Results of the load that bypasses the gateways, by process.
-        simulated_results: Results of the load on simulated gateways, by process.
-        real_result: Result of the load on real gateways, if there are any.
+        idle: Interval without load.
+        calibration: Interval with a load that bypasses the gateways; it shows the cost of load generation.
+        load: Interval under load.
+        calibration_results: Result of the load that bypasses the gateways, for each process.
+        simulated_results: Result of the load on simulated gateways, for each process.
+        real_result: Result of the load on real gateways; None without real gateways.
     """
 
     idle: Interval
@@ -103,10 +107,10 @@
 
     Args:
         fleet: The fleet, with all processes still running.
-        measurement: What was measured.
+        measurement: Measurements of the fleet.
 
     Returns:
-        Figures of simulated gateways, real gateways (if any), discovery and the counter.
+        Figures of simulated gateways, real gateways (if there are any), discovery and the counter.
     """
     roles = [_simulated_gateway_figures(fleet, measurement)]
     if measurement.real_result is not None:
@@ -143,7 +147,7 @@
 def _generator_cpu_s_per_request(
     fleet: Fleet, measurement: LoadMeasurement, cpu_s_per_idle_s: float
 ) -> float:
-    """Processor time that the load generation itself takes in the gateways' processes."""
+    """Return the processor time that generating one request takes in a process of simulated gateways."""
     calibration = measurement.calibration
     cpu_s = calibration.cpu_s(fleet.simulated_gateway_processes) - cpu_s_per_idle_s * calibration.duration_s
     requests = sum(result.requests_sent for result in measurement.calibration_results)
@@ -195,7 +199,7 @@
 
 
 def _traffic_per_gateway(interval: Interval, role: Role, gateways: int) -> tuple[float, float]:
-    """Requests and bytes a second from each gateway."""
+    """Return requests and bytes per second between each gateway and the server of a role."""
     start, end = _server_statistics(interval.start, role), _server_statistics(interval.end, role)
     gateway_seconds = interval.duration_s * gateways
     requests = end.requests - start.requests
--- a/testbed/scale/plan.py
+++ b/testbed/scale/plan.py
@@ -1,4 +1,4 @@
-"""What a scale experiment runs."""
+"""Parameters of a scale experiment."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 import msgspec
 
-SIMULATED_GATEWAYS_PER_PROCESS = 100  # simulated gateways
+SIMULATED_GATEWAYS_PER_PROCESS = 100
 MIN_ENDPOINTS = 4
-WORKER_MEMORY_MB = 60.0  # of a worker
-EMULATED_SYSTEM_PROCESSES = 5
-SIMULATED_GATEWAY_MEMORY_MB = 0.3  # without endpoints
-REAL_GATEWAY_MEMORY_MB = 40.0  # without endpoints
-ENDPOINT_LIST_ENTRY_MEMORY_MB = 1.0 / 1024  # of one endpoint in each gateway
+EMULATED_SYSTEM_PROCESSES = 5  # discovery, the counter, two processes of endpoints and the load generator
+WORKER_MEMORY_MB = 60.0  # does not include the simulated gateways that the worker runs
+SIMULATED_GATEWAY_MEMORY_MB = 0.3  # does not include the endpoint list
+REAL_GATEWAY_MEMORY_MB = 40.0  # does not include the endpoint list
+ENDPOINT_LIST_ENTRY_MEMORY_MB = 1.0 / 1024  # memory that one endpoint takes in each gateway
 BYTES_PER_MIB = 2**20
 
 
@@ -34,7 +34,7 @@
         "counter_rejected_fraction": "turned_away",
     },
 ):
-    """One scale experiment, as given on the command line.
+    """Parameters of one scale experiment, set on the command line.
 
     Attributes:
         simulated_gateways: Number of simulated gateways.
@@ -42,14 +42,16 @@
         endpoints: Size of the largest endpoint list.
         tenants: Number of tenants that requests belong to.
         load_s: Duration of each load, in seconds.
-        requests_per_s: Mean requests a second to each simulated gateway.
-        real_requests_per_s: Requests a second to each real gateway.
-        traffic_share_shape: Shape of the gamma distribution of the gateways' shares of the traffic; the
-            smaller, the less even.
-        discovery_by_polling: Whether discovery sends the endpoint list only on request.
-        discovery_calls_per_s: Calls a second that discovery processes if it is polled.
-        counter_rejected_fraction: Part of the calls that the counter rejects while quotas are measured.
-        seed: Seed of all random draws.
+        requests_per_s: Mean requests per second to each simulated gateway.
+        real_requests_per_s: Mean requests per second to each real gateway.
+        traffic_share_shape: Shape parameter of the gamma distribution that the simulated gateways' shares of
+            the traffic are drawn from. A smaller value makes the shares less even.
+        discovery_by_polling: Whether all gateways poll one discovery service, instead of an agent on the
+            machine of each gateway.
+        discovery_calls_per_s: Calls per second that the discovery service processes; used only with
+            `discovery_by_polling`.
+        counter_rejected_fraction: Fraction of the calls that the counter rejects while quotas are measured.
+        seed: Seed of all random generators.
     """
 
     simulated_gateways: int
@@ -67,16 +69,16 @@
 
     @property
     def fleet_size(self) -> int:
-        """Number of all gateways."""
+        """Number of gateways, simulated and real."""
         return self.simulated_gateways + self.real_gateways
 
     def endpoint_counts(self) -> tuple[int, ...]:
-        """Return the sizes of the endpoint list: about a ninth, a third and all of the endpoints."""
+        """Return the sizes of the endpoint list, ascending: a ninth, a third and all of `endpoints`."""
         smaller = {max(MIN_ENDPOINTS, round(self.endpoints / divisor)) for divisor in (9, 3)}
         return tuple(sorted(smaller | {self.endpoints}))
 
     def estimated_memory_mb(self) -> float:
-        """Return about what all processes need with the largest endpoint list, in MiB."""
+        """Return an estimate of the memory of all processes with the largest endpoint list, in MiB."""
         processes = self.simulated_gateways / SIMULATED_GATEWAYS_PER_PROCESS + EMULATED_SYSTEM_PROCESSES
         endpoints_mb = self.endpoints * ENDPOINT_LIST_ENTRY_MEMORY_MB
         return (
@@ -87,5 +89,5 @@
 
 
 def machine_memory_mb() -> float:
-    """Return the memory of this machine in MiB."""
+    """Return the physical memory of this machine, in MiB."""
     return os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES") / BYTES_PER_MIB
--- a/testbed/scale/report.py
+++ b/testbed/scale/report.py
@@ -1,4 +1,7 @@
-"""The report of a scale experiment, with the keys of its JSON form."""
+"""The report of a scale experiment.
+
+A `rename` mapping gives the JSON key of each field whose key is not the field's name.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 
 
 class Role(enum.Enum):
-    """What a figure belongs to, with its name in reports."""
+    """The part of the system that a figure describes; the value is its name in reports."""
 
     SIMULATED_GATEWAY = "hollow gateway"
     REAL_GATEWAY = "real gateway"
@@ -29,25 +32,27 @@
         "idle_requests_per_s": "idle_messages_per_s",
     },
 ):
-    """Figures of one role with one size of the endpoint list, for each gateway unless it says otherwise.
+    """Figures of one role with one size of the endpoint list.
+
+    A figure is None where it does not apply to the role.
 
     Attributes:
         role: The role.
-        processes: Number of processes.
-        gateways: Number of gateways.
-        requests: Requests of the load, to all gateways of the role.
-        served: Responses with status 200, of all gateways of the role.
-        cpu_us_per_request: Processor time of one request, in microseconds.
-        cpu_us_per_idle_s: Processor time of one second without load, in microseconds.
-        cpu_s: Processor time of all processes under load, in seconds.
-        added_ms: Latency beyond the endpoint's service time, in milliseconds.
-        memory_mb: Resident memory in MiB.
-        connects_per_request: Connections opened to endpoints for each request.
-        connections: Open connections to endpoints after the load.
-        requests_per_s: Requests a second from each gateway to this role, under load.
-        bytes_per_s: Bytes a second of them, in both directions.
-        idle_requests_per_s: Requests a second from each gateway without load.
-        idle_bytes_per_s: Bytes a second of them, in both directions.
+        processes: Number of processes of the role.
+        gateways: Number of gateways of the role; for discovery and the counter, the size of the fleet.
+        requests: Requests of the load to all gateways of the role; 0 for discovery and the counter.
+        served: Responses with status 200 from all gateways of the role.
+        cpu_us_per_request: Processor time per request, in microseconds.
+        cpu_us_per_idle_s: Processor time per gateway and second without load, in microseconds.
+        cpu_s: Processor time of all processes of the role under load, in seconds.
+        added_ms: Percentiles of the latency beyond the endpoint's service time, in milliseconds.
+        memory_mb: Resident memory per gateway, or of the one process of discovery or the counter, in MiB.
+        connects_per_request: Connections opened to endpoints per request.
+        connections: Open connections to endpoints per gateway after the load.
+        requests_per_s: Requests per second from each gateway to this role, under load.
+        bytes_per_s: Bytes per second of these requests and their responses, per gateway.
+        idle_requests_per_s: Requests per second from each gateway to this role, without load.
+        idle_bytes_per_s: Bytes per second of these requests and their responses, per gateway.
     """
 
     role: Role
@@ -79,13 +84,13 @@
         "cpu_ms_per_gateway": "cpu_ms_each",
     },
 ):
-    """Cost of the replacement of some endpoints at once, without load.
+    """Cost of replacing some endpoints at once, without load.
 
     Attributes:
-        endpoints_replaced: Number of endpoints.
-        propagation_s: Time until all simulated gateways knew, in seconds.
-        bytes_per_gateway: Bytes between discovery and each gateway.
-        cpu_ms_per_gateway: Processor time of a simulated gateway, in milliseconds.
+        endpoints_replaced: Number of replaced endpoints.
+        propagation_s: Time until all simulated gateways had the new endpoint list, in seconds.
+        bytes_per_gateway: Bytes sent and received by discovery, per gateway.
+        cpu_ms_per_gateway: Processor time per simulated gateway, in milliseconds.
     """
 
     endpoints_replaced: int
@@ -110,12 +115,14 @@
 
     Attributes:
         endpoints: Size of the endpoint list.
-        start_s: Time until all gateways were ready, in seconds.
+        start_s: Time from the start of the first gateway until all gateways were ready, in seconds.
         roles: Figures of each role.
-        max_over_mean_load: Requests of the busiest endpoint over the mean, of simulated gateways.
-        full_list_bytes: Size of discovery's response with the full list.
-        start_bytes_per_gateway: Bytes between discovery and each gateway until all were ready.
-        replacement: Cost of the replacement of some endpoints.
+        max_over_mean_load: Attempts of simulated gateways at the busiest endpoint, divided by the mean over
+            all endpoints.
+        full_list_bytes: Size of discovery's response with the full list, in bytes.
+        start_bytes_per_gateway: Bytes sent and received by discovery until the measurement without load, per
+            gateway.
+        replacement: Cost of replacing some endpoints.
     """
 
     endpoints: int
@@ -133,16 +140,16 @@
     kw_only=True,
     rename={"slope_per_1000_endpoints": "slope_per_1000_hosts", "residual_deviation": "spread"},
 ):
-    """A line through one figure at all sizes: y = intercept + slope * endpoints.
+    """A line fitted to one figure over the sizes of the endpoint list: y = intercept + slope * endpoints.
 
     Attributes:
         figure: Name of the figure.
-        unit: Its unit.
-        intercept: Value of the line without endpoints.
-        slope_per_1000_endpoints: Increase for each 1,000 endpoints.
+        unit: Unit of the figure, and of all values of the fit.
+        intercept: Value of the line at 0 endpoints.
+        slope_per_1000_endpoints: Increase per 1,000 endpoints.
         residual_deviation: Standard deviation of the residuals.
         at_target: Value of the line at 11,000 endpoints.
-        extrapolated: Whether 11,000 endpoints lie beyond the largest size.
+        extrapolated: Whether 11,000 endpoints are more than the largest measured size.
     """
 
     figure: str
@@ -166,14 +173,14 @@
         "over_quota_ratio": "price",
     },
 ):
-    """What is forwarded over quotas while the counter rejects calls.
+    """Units forwarded within and over quotas while the counter rejects calls.
 
     Attributes:
-        configured_rejected_fraction: Part of the calls that the counter was to reject.
-        rejected_fraction: Part of the calls that it rejected.
+        configured_rejected_fraction: Fraction of the calls that the counter was configured to reject.
+        rejected_fraction: Fraction of the calls that the counter rejected.
         units_within_quota: Units forwarded within the quotas.
         units_over_quota: Units forwarded over the quotas.
-        over_quota_ratio: Units over the quotas, divided by the units that the quotas allow.
+        over_quota_ratio: Units forwarded over the quotas, divided by the units that the quotas allow.
     """
 
     configured_rejected_fraction: float
@@ -187,15 +194,15 @@
     """The report of a scale experiment.
 
     Attributes:
-        plan: What was run.
+        plan: Parameters of the experiment.
         command: The command line.
-        machine: Architecture of the machine.
-        cores: Number of its processor cores.
+        machine: Processor architecture of the machine.
+        cores: Number of processor cores of the machine; 0 if unknown.
         duration_s: Duration of the experiment, in seconds.
-        sizes: Figures by size of the endpoint list.
-        fits: Lines over the sizes.
-        quotas: Figures of quotas, with the largest endpoint list.
-        notes: How to read the figures.
+        sizes: Figures for each size of the endpoint list.
+        fits: Lines fitted over the sizes of the endpoint list.
+        quotas: Figures of quotas, measured with the largest endpoint list.
+        notes: Remarks that help to read the figures.
     """
 
     plan: Plan
--- a/testbed/scale/tables.py
+++ b/testbed/scale/tables.py
@@ -1,4 +1,4 @@
-"""The report of a scale experiment as tables."""
+"""Prints the report of a scale experiment as tables."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
     console.print(
         f"Quotas with {quotas.rejected_fraction:.0%} of the counter's calls rejected: "
         f"{quotas.units_over_quota:,.0f} units over quota, {quotas.units_within_quota:,.0f} within, "
-        f"share over quota {quotas.over_quota_ratio:.3f}"
+        f"over quota / allowed {quotas.over_quota_ratio:.3f}"
     )
     console.print(f"{report.duration_s:.0f} s. " + " ".join(report.notes))
 
--- a/testbed/simulated_gateways.py
+++ b/testbed/simulated_gateways.py
@@ -1,7 +1,7 @@
 """Simulated gateways, many in one process.
 
-Each runs the gateway's own dispatcher, decisions, discovery watch and counter client. Only the sockets of
-clients and endpoints are simulated.
+Each one runs the dispatcher, the decisions, the discovery client and the counter client of a real gateway.
+Only the connections to clients and endpoints are simulated.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 from testbed.simulated_pool import SimulatedConnectionPool, SimulatedEndpoints
 
 REQUEST_HEAD = b"GET /api/0 HTTP/1.1\r\n"
-# Most tenants request a part of their quota, a few far more than it.
+# Relative request rates, one drawn per tenant: most tenants stay within their quota, a few far exceed it.
 TENANT_WEIGHTS = (1, 1, 2, 2, 3, 4, 20)
-MIN_SLEEP_S = 0.0005  # shorter delays between arrivals are not worth a timer
-ARRIVALS_PER_YIELD = 64  # so that a late generator still lets the loop read responses
-FINAL_RESPONSE_WAIT_S = 0.5  # how long to wait for responses after the load
+MIN_SLEEP_S = 0.0005  # a request that is due sooner is sent at once, since a timer is not worth its cost
+ARRIVALS_PER_YIELD = 64  # a load generator that is behind yields this often, so that responses are read
+FINAL_RESPONSE_WAIT_S = 0.5  # time for the last responses to arrive after the load
 
 
 class SimulatedClient:
@@ -38,7 +38,7 @@
         """Initialize the client.
 
         Args:
-            fleet: Counts the response.
+            fleet: The fleet that counts the response.
             due_at: Time at which the request was due, in seconds by `time.monotonic`.
         """
         self._fleet, self.due_at = fleet, due_at
@@ -50,12 +50,12 @@
         self._fleet.response_received(self, status)
 
     def abort_if_disconnected(self) -> bool:
-        """Return False without an abort: the client never disconnects."""
+        """Return False, since a simulated client never disconnects."""
         return False
 
 
 class RecordingDispatcher(Dispatcher):
-    """A dispatcher over simulated endpoints that records the first attempt of each request."""
+    """A dispatcher with simulated endpoints; it records the first attempt of each request."""
 
     def __init__(
         self,
@@ -69,8 +69,8 @@
         Args:
             config: Configuration of the gateway.
             loop: The event loop.
-            endpoints: What attempts are sent to.
-            forwarded_requests: Gets each first attempt.
+            endpoints: The simulated endpoints that attempts are sent to.
+            forwarded_requests: List to which the first attempt of each request is appended.
         """
         super().__init__(config, loop, functools.partial(SimulatedConnectionPool, endpoints))
         self._forwarded_requests = forwarded_requests
@@ -91,26 +91,27 @@
         return self._pool.connections()
 
     def connections_opened(self) -> int:
-        """Return the number of connections opened so far."""
+        """Return the number of connections opened to endpoints since the start."""
         return self._pool.connections_opened
 
     def generation(self) -> int:
-        """Return the generation of the known endpoint list, 0 without a list."""
+        """Return the generation of the gateway's endpoint list, 0 if it has none yet."""
         return self._discovery.generation or 0
 
 
 class SimulatedFleet:
-    """All simulated gateways of one process, and their load.
+    """All simulated gateways of one process, and the generator of their load.
 
     Attributes:
         endpoints: The simulated endpoints.
-        dispatchers: One for each gateway.
-        forwarded_requests: First attempts of all gateways.
-        requested_units: Units requested by each tenant.
-        added_latency: Latency beyond the endpoint's service time.
-        requests_sent: Requests so far.
-        requests_served: Responses with status 200 so far.
-        bypass_gateways: Whether to respond to each request at once, to measure the load generation alone.
+        dispatchers: The dispatchers, one for each gateway.
+        forwarded_requests: The first attempts of all gateways since `reset_records`.
+        requested_units: Units requested by each tenant since `reset_records`.
+        added_latency: Latency beyond the endpoint's service time, of each served request.
+        requests_sent: Number of requests since the start.
+        requests_served: Number of responses with status 200 since the start.
+        bypass_gateways: Whether to respond to each request at once, without a gateway. This measures the cost
+            of load generation itself.
     """
 
     def __init__(
@@ -125,11 +126,12 @@
         """Initialize the gateways.
 
         Args:
-            configurations: One for each gateway.
+            configurations: The configurations, one for each gateway.
             tenants: Number of tenants that requests belong to.
-            requests_per_s: Mean requests a second to each gateway.
-            traffic_share_shape: Shape of the gamma distribution of the gateways' shares of the traffic.
-            seed: Seed of all random draws.
+            requests_per_s: Mean requests per second to each gateway.
+            traffic_share_shape: Shape parameter of the gamma distribution that the gateways' shares of the
+                traffic are drawn from.
+            seed: Seed of all random generators.
         """
         loop = asyncio.get_running_loop()
         self.endpoints = SimulatedEndpoints(seed)
@@ -167,11 +169,11 @@
         return sum(dispatcher.is_ready() for dispatcher in self.dispatchers)
 
     def count_outdated(self, generation: int) -> int:
-        """Return the number of gateways that know no endpoint list of this generation or a later one."""
+        """Return the number of gateways that have no endpoint list, or one of an earlier generation."""
         return sum(dispatcher.generation() < generation for dispatcher in self.dispatchers)
 
     def connections_opened(self) -> int:
-        """Return the number of connections that all gateways have opened."""
+        """Return the number of connections that all gateways have opened since the start."""
         return sum(dispatcher.connections_opened() for dispatcher in self.dispatchers)
 
     def open_connections(self) -> int:
@@ -179,7 +181,7 @@
         return sum(dispatcher.open_connections() for dispatcher in self.dispatchers)
 
     def reset_records(self) -> None:
-        """Clear what is recorded of each request; the counts of requests go on."""
+        """Clear the records of requests and attempts, but not `requests_sent` and `requests_served`."""
         self.forwarded_requests.clear()
         self.requested_units.clear()
         self.endpoints.attempts_by_endpoint.clear()
@@ -187,7 +189,8 @@
     async def run_load(self, seconds: float) -> None:
         """Generate open-loop load, then wait for the last responses.
 
-        Arrivals do not wait for responses. The latency of a late request counts from when it was due.
+        Requests are sent when they are due, without waiting for responses. Latency is measured from the time
+        at which a request was due, so it includes the delay of a request that is sent late.
 
         Args:
             seconds: Duration of the load.
@@ -205,7 +208,7 @@
         await asyncio.sleep(FINAL_RESPONSE_WAIT_S)
 
     def response_received(self, client: SimulatedClient, status: int) -> None:
-        """Count one response."""
+        """Count one response, and record its latency if it has status 200."""
         if status == 200 and not self.bypass_gateways:
             self.requests_served += 1
             self.added_latency.record(
@@ -226,7 +229,7 @@
 
     def _draw_gateway(self) -> int:
         index = bisect.bisect(self._cumulative_shares, self._rng.random())
-        return min(index, len(self.dispatchers) - 1)  # the last sum may be below 1 by rounding
+        return min(index, len(self.dispatchers) - 1)  # rounding can leave the last sum below 1
 
     def _draw_tenant(self) -> int:
         weights = self._cumulative_tenant_weights
--- a/testbed/simulated_pool.py
+++ b/testbed/simulated_pool.py
@@ -1,7 +1,7 @@
-"""A connection pool without sockets, for simulated gateways.
+"""Connection pool of simulated gateways, without sockets.
 
-It follows the rules of `api_gateway.network.upstream.pool`, and computes what that pool would do to
-endpoints: new connections, idle connections and service times.
+The pool opens, reuses and closes connections by the rules of `api_gateway.network.upstream.pool`, but it only
+counts them. Each attempt gets its response after a random service time.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from api_gateway.network.upstream.attempt import Attempt
 from testbed.endpoint_server import MEAN_SERVICE_TIME_MS, SERVICE_TIME_VARIATION_COEFFICIENT, ServiceTimes
 
-CONNECT_TIME_S = 0.002  # a round trip across zones, and the endpoint's work for it
+CONNECT_TIME_S = 0.002  # one round trip between zones, and the time that the endpoint needs to accept
 OK_RESPONSE = Response(200, {}, b"", True)
 
 
@@ -23,10 +23,10 @@
     """The endpoints behind all simulated gateways of a process.
 
     Attributes:
-        service_times: Distribution of the service times.
-        attempts_by_endpoint: Attempts that reached each endpoint, by endpoint name.
-        current_service_time_s: Service time of the response that is being delivered, in seconds; 0 outside of
-            a delivery.
+        service_times: Generator of the service times.
+        attempts_by_endpoint: Number of attempts that each endpoint received, by endpoint name.
+        current_service_time_s: Service time of the response that is being delivered, in seconds; 0 while none
+            is delivered.
     """
 
     def __init__(self, seed: int) -> None:
@@ -36,10 +36,10 @@
 
 
 class SimulatedConnectionPool:
-    """Stands in for `ConnectionPool`; bound to its endpoints, it has the same constructor.
+    """Replacement for `ConnectionPool`. With `endpoints` bound, its constructor takes the same arguments.
 
     Attributes:
-        connections_opened: Connections opened so far.
+        connections_opened: Number of connections opened since the start.
     """
 
     def __init__(
@@ -54,20 +54,20 @@
         close_if_abandoned: Callable[[Attempt], bool],
     ) -> None:
         self._endpoints = endpoints
-        self._loop, self._attempt_ended = loop, on_attempt_ended
-        self._idle_timeout_s = (
-            idle_timeout_ms / 2000
-        )  # half of the time after which endpoints close connections
-        self._accepts_requests: dict[str, bool] = {}  # by endpoint; draining ones accept none
-        self._idle_since: dict[str, deque[float]] = {}  # by endpoint: when each connection became idle
+        self._loop, self._on_attempt_ended = loop, on_attempt_ended
+        # As in `ConnectionPool`, a connection is closed after half of the endpoints' idle timeout.
+        self._idle_timeout_s = idle_timeout_ms / 2000
+        self._accepts_requests: dict[str, bool] = {}  # by endpoint name; False for a draining endpoint
+        # By endpoint name: the loop time, in seconds, since which each idle connection has been idle.
+        self._idle_since: dict[str, deque[float]] = {}
         self._in_flight = 0
         self.connections_opened = 0
 
     def start(self) -> None:
-        """Do nothing: there is no socket to open."""
+        """Do nothing, since the pool has no sockets."""
 
     def stop(self) -> None:
-        """Do nothing: there is no socket to close."""
+        """Do nothing, since the pool has no sockets to close."""
 
     def update_endpoints(
         self,
@@ -80,10 +80,10 @@
         """Apply changes of the endpoint list.
 
         Args:
-            addresses: New and changed endpoints.
-            removed: Endpoints that are removed.
-            draining: Endpoints that drain.
-            started_at_ms: Unix times of the endpoints' starts, in milliseconds.
+            addresses: Host and port of each new or changed endpoint, by endpoint name.
+            removed: Names of the removed endpoints.
+            draining: Names of the draining endpoints.
+            started_at_ms: Unix time of each endpoint's start in milliseconds, by endpoint name.
         """
         for name in removed:
             self._accepts_requests.pop(name, None)
@@ -92,14 +92,14 @@
             self._accepts_requests[name] = name not in draining
 
     def withdraw_pending_connects(self) -> None:
-        """Do nothing: no attempt waits for a connection."""
+        """Do nothing, since no attempt waits for a connection."""
 
     def endpoint_names(self) -> set[str]:
-        """Return the names of the known endpoints."""
+        """Return the names of all endpoints, including draining ones."""
         return set(self._accepts_requests)
 
     def withdraw(self, attempt: Attempt) -> None:
-        """Do nothing: each request is fully sent at once."""
+        """Do nothing, since each request is sent completely at once."""
 
     def cancel(self, attempt: Attempt) -> None:
         """End an attempt without a response."""
@@ -145,4 +145,4 @@
     def _end(self, attempt: Attempt, result: AttemptResult, response: Response | None) -> None:
         if not attempt.is_done:
             attempt.is_done = True
-            self._attempt_ended(attempt, result, response)
+            self._on_attempt_ended(attempt, result, response)
--- a/testbed/worker.py
+++ b/testbed/worker.py
@@ -1,7 +1,8 @@
-"""One worker process of an experiment: `python -m testbed.worker`.
+"""A worker process of an experiment, started as `python -m testbed.worker`.
 
-It reads its configuration and then commands from standard input, and replies on standard output (see
-`testbed.messages`). It ends with its input, so that it never outlives the experiment.
+The worker reads its configuration and then commands from standard input, and replies on standard output. The
+messages are defined in `testbed.messages`. The worker exits when its input ends, so it never outlives the
+experiment.
 """
 
 from __future__ import annotations
@@ -47,20 +48,20 @@
 )
 from testbed.simulated_gateways import SimulatedFleet
 
-MAX_INPUT_LINE_BYTES = 64 * 1024 * 1024
+MAX_INPUT_LINE_BYTES = 64 * 1024 * 1024  # the configuration of discovery contains the full endpoint list
 
 
 class Worker(Protocol):
-    """What a process of an experiment runs."""
+    """Interface of everything that a worker process can run."""
 
     async def start(self) -> Started:
-        """Start, and return once it runs."""
+        """Start, and return the reply to the configuration."""
 
     async def execute(self, command: Command) -> Reply:
         """Execute one command.
 
         Raises:
-            UnsupportedCommandError: This worker does not have the command.
+            UnsupportedCommandError: The worker does not support the command.
         """
 
 
@@ -90,7 +91,7 @@
         return await _listen(self._server)
 
     async def execute(self, command: Command) -> DiscoveryStatistics:
-        """Execute one command, and return the statistics after it."""
+        """Execute one command, and return the statistics after its execution."""
         match command:
             case ReplaceEndpoints(count=count):
                 self._replace_endpoints(count)
@@ -128,7 +129,7 @@
         return await _listen(self._server)
 
     async def execute(self, command: Command) -> CounterStatistics:
-        """Execute one command, and return the statistics after it."""
+        """Execute one command, and return the statistics after its execution."""
         match command:
             case SetRejectedShare(share=share):
                 self._server.rejected_fraction = share
@@ -164,7 +165,7 @@
 
 
 class SimulatedGatewaysWorker:
-    """Runs simulated gateways and their load."""
+    """Runs simulated gateways and generates their load."""
 
     def __init__(self, config: SimulatedGatewaysConfig) -> None:
         indexes = range(config.first_index, config.first_index + config.count)
@@ -177,7 +178,7 @@
         )
 
     async def start(self) -> Started:
-        """Start all gateways; they are ready later."""
+        """Start all gateways, without waiting until they are ready."""
         self._fleet.start()
         return Started()
 
@@ -213,7 +214,7 @@
 
 
 class LoadGeneratorWorker:
-    """Generates load on gateway processes."""
+    """Generates load on real gateways."""
 
     def __init__(self, config: LoadGeneratorConfig) -> None:
         addresses = [address.rsplit(":", 1) for address in config.addresses]
@@ -226,11 +227,11 @@
         )
 
     async def start(self) -> Started:
-        """Do nothing: connections are opened with the load."""
+        """Return at once: connections are opened when the load starts."""
         return Started()
 
     async def execute(self, command: Command) -> LoadResult:
-        """Generate load."""
+        """Generate load, and return its result."""
         match command:
             case RunLoad(seconds=seconds):
                 await self._generator.run(seconds)
@@ -244,7 +245,7 @@
 
 
 def create_worker(config: WorkerConfig) -> Worker:
-    """Create the worker that a configuration describes."""
+    """Create the worker for a configuration."""
     match config:
         case DiscoveryConfig():
             return DiscoveryWorker(config)
@@ -271,7 +272,7 @@
 
 
 async def run() -> None:
-    """Start the worker, then execute commands until the input ends."""
+    """Start a worker, and execute commands until standard input ends."""
     reader = await _open_standard_input()
     worker = create_worker(msgspec.json.decode(await reader.readline(), type=WorkerConfig))
     _write_reply(await worker.start())
--- a/tests/test_testbed_gateways.py
+++ b/tests/test_testbed_gateways.py
@@ -1,4 +1,4 @@
-"""The simulated gateways of the testbed."""
+"""Tests of the testbed's simulated gateways."""
 
 from __future__ import annotations
 
@@ -41,8 +41,11 @@
 def test_simulated_gateways_serve_requests_and_follow_the_endpoint_list(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """All become ready by discovery's list, count their requests and respond to each."""
-    # All share one event loop with discovery: on a busy machine its responses would come after the timeouts.
+    """Guards against simulated gateways that lose requests or attempts, or use draining endpoints.
+
+    All gateways become ready with discovery's list, call the counter and respond to requests.
+    """
+    # All gateways share one event loop with discovery, whose responses can be late on a busy machine.
     for name in ("AGENT_TIMEOUT_S", "RESPONSE_TIMEOUT_S", "CONNECT_TIMEOUT_S", "PROGRESS_TIMEOUT_S"):
         monkeypatch.setattr(discovery_policy, name, 60.0)
 
--- a/tests/test_testbed_scale.py
+++ b/tests/test_testbed_scale.py
@@ -1,4 +1,4 @@
-"""The scale experiment of the testbed, its accounting and its command line."""
+"""Tests of the testbed's scale experiment, its quota accounting and its command line."""
 
 from __future__ import annotations
 
@@ -28,6 +28,7 @@
 
 
 def test_account_quotas_matches_exact_token_buckets() -> None:
+    """Guards against wrong refill: tokens gained between two requests, or beyond the bucket's capacity."""
     forwarded = [
         ForwardedRequest(0.0, 1, 3.0),
         ForwardedRequest(0.1, 1, 2.0),
@@ -35,12 +36,13 @@
         ForwardedRequest(10.0, 1, 4.0),
     ]
     usage = account_quotas(forwarded, {1: 9.0, 2: 1.0, 3: 100.0}, refill=1.0, burst=4.0, seconds=10.0)
-    # Tenant 1 takes 3 of 4 units, so that 1.1 are left for its next 2; the bucket is full again after 10 s.
+    # Tenant 1 takes 3 of 4 units, so its request of 2 finds 1.1 units. At 10 s, the bucket is full again.
     assert (usage.units_within_quota, usage.units_over_quota) == (8.0, 2.0)
     assert usage.units_allowed == 9.0 + 1.0 + 14.0
 
 
 def test_fit_line_returns_slope_intercept_and_residual_deviation() -> None:
+    """Guards against a wrong slope or deviation in reports, and against a line through only two points."""
     line = fit_line([1, 2, 3, 4], [3.0, 5.0, 7.0, 9.0])
     assert (line.intercept, line.slope, line.residual_deviation) == pytest.approx((1.0, 2.0, 0.0), abs=1e-9)
     rng = random.Random(1)
@@ -52,6 +54,7 @@
 
 
 def test_plan_has_three_list_sizes_and_estimates_memory() -> None:
+    """Guards against too few sizes for a fit, and against experiments that exhaust the machine's memory."""
     plan = Plan(simulated_gateways=670, endpoints=11_000)
     assert len(plan.endpoint_counts()) == 3 and plan.endpoint_counts()[-1] == 11_000
     assert Plan(simulated_gateways=2000, endpoints=50_000).estimated_memory_mb() > 50_000
@@ -81,6 +84,7 @@
     ],
 )
 def test_bad_arguments_exit_with_status_2_and_a_one_line_error(arguments: list[str]) -> None:
+    """Guards against a traceback, or the start of an experiment, when the arguments are invalid."""
     result = run_testbed(*arguments)
     assert result.returncode == 2 and not result.stdout
     assert len(result.stderr.splitlines()) == 1 and result.stderr.startswith("testbed: ")
@@ -88,7 +92,7 @@
 
 @pytest.fixture(scope="module")
 def small_experiment(tmp_path_factory: pytest.TempPathFactory) -> tuple[bytes, str]:
-    """Report file and standard output of a small experiment."""
+    """Run a small experiment, and return the content of its report file and its standard output."""
     path = tmp_path_factory.mktemp("scale") / "report.json"
     options = {
         "--gateways": "12",
@@ -106,6 +110,7 @@
 
 
 def test_small_experiment_reports_every_role(small_experiment: tuple[bytes, str]) -> None:
+    """Guards against a report without the figures of a role or a size, and against implausible figures."""
     encoded_report, output = small_experiment
     report = msgspec.json.decode(encoded_report, type=Report)
     assert [size.endpoints for size in report.sizes] == [10, 30, 90]
@@ -130,7 +135,7 @@
 
 
 def nested_keys(value: object) -> object:
-    """Return the keys of nested objects in their order; a list stands for its first entry."""
+    """Return the keys of nested objects in their order, and for a list the keys of its first entry."""
     if isinstance(value, dict):
         return [(key, nested_keys(entry)) for key, entry in value.items()]
     if isinstance(value, list) and value:
@@ -146,6 +151,7 @@
 def test_report_has_the_keys_and_figure_names_of_the_published_one(
     small_experiment: tuple[bytes, str],
 ) -> None:
+    """Guards against a renamed key or figure: new reports could not be compared with the published one."""
     report = json.loads(small_experiment[0])
     published = json.loads(PUBLISHED_REPORT_PATH.read_text())
     assert nested_keys(report) == nested_keys(published)
@@ -157,6 +163,7 @@
 
 
 def test_ctrl_c_ends_every_process() -> None:
+    """Guards against worker processes that continue to run after the experiment is interrupted."""
     experiment_process = subprocess.Popen(
         [sys.executable, "-m", "testbed", "scale", "--gateways", "4", "--hosts", "36", "--seconds", "60"],
         cwd=ROOT,
@@ -176,6 +183,8 @@
 
 
 def test_process_group_reports_a_failed_worker_and_ends_the_others() -> None:
+    """Guards against waiting for a worker that has failed to start, and against workers left running."""
+
     async def scenario() -> None:
         async with ProcessGroup(5) as group:
             with pytest.raises(ProcessError, match="counter: process ended: "):
--- a/tests/test_testbed_servers.py
+++ b/tests/test_testbed_servers.py
@@ -1,4 +1,4 @@
-"""The emulated discovery, counter and endpoints of the testbed."""
+"""Tests of the testbed's emulators of discovery, the counter and endpoints."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 async def send_pipelined(server: asyncio.Server, *requests: str) -> list[tuple[int, bytes]]:
-    """Send all requests on one connection before any response, and return each status and body."""
+    """Send all requests on one connection before reading, and return the status and body of each response."""
     reader, writer = await asyncio.open_connection(LOOPBACK, server.sockets[0].getsockname()[1])
     for request in requests:
         writer.write(f"{request} HTTP/1.1\r\nContent-Length: 0\r\n\r\n".encode())
@@ -40,6 +40,11 @@
 
 
 def test_discovery_sends_the_full_list_then_changes_and_holds_long_polls() -> None:
+    """Guards against a long poll that ends without the change, and against a full list in place of changes.
+
+    The gateway's own parser reads the responses, so the test also fails if the two differ in the protocol.
+    """
+
     async def scenario() -> None:
         discovery = DiscoveryServer(create_test_instances(30))
         server = await serve(discovery.handle, discovery.traffic)
@@ -78,6 +83,8 @@
 
 
 def test_rate_limited_discovery_rejects_calls_beyond_its_queue() -> None:
+    """Guards against a service emulation that queues any number of calls, and so never overloads."""
+
     async def scenario() -> None:
         discovery = DiscoveryServer(create_test_instances(5), calls_per_s=100, max_queue_delay_s=0.05)
         server = await serve(discovery.handle, discovery.traffic)
@@ -94,6 +101,8 @@
 
 
 def test_counter_adds_and_expires_counts_and_rejects_malformed_calls() -> None:
+    """Guards against counts that are lost or never expire, and against malformed calls that are accepted."""
+
     async def scenario() -> None:
         counter = CounterServer(10_000, rejected_fraction=0.0)
         server = await serve(counter.handle, counter.traffic)
@@ -103,7 +112,7 @@
             (200, b"5"),
         ]
         while (await send_pipelined(server, INCREMENT_EXPIRING))[0][1] != b"1":
-            pass  # until the first total, which lives 1 ms, has expired
+            pass  # retry until the first count, which has a lifetime of 1 ms, has expired
         malformed = await send_pipelined(
             server, "POST /v1/count/a?add=x&ttl_ms=1", "POST /v1/count/a", "GET /other?add=1&ttl_ms=1"
         )
@@ -113,6 +122,8 @@
 
 
 def test_counter_rejects_a_fraction_of_the_calls_without_adding_them() -> None:
+    """Guards against rejected calls that change the count nevertheless."""
+
     async def scenario() -> None:
         counter = CounterServer(10_000, rejected_fraction=0.6)
         server = await serve(counter.handle, counter.traffic)
@@ -127,6 +138,8 @@
 
 
 def test_counter_adds_calls_whose_response_is_late() -> None:
+    """Guards against a late response without its increment; gateways are tested with calls that time out."""
+
     async def scenario() -> None:
         counter = CounterServer(10_000)
         server = await serve(counter.handle, counter.traffic)
@@ -143,6 +156,8 @@
 
 
 def test_counter_limits_its_calls_a_second() -> None:
+    """Guards against a counter that queues any number of calls, and so never overloads."""
+
     async def scenario() -> None:
         counter = CounterServer(1000, partitions=1, max_queue_delay_s=0.02)
         server = await serve(counter.handle, counter.traffic)
@@ -154,6 +169,8 @@
 
 
 def test_endpoints_respond_with_their_service_time() -> None:
+    """Guards against a response body without the service time, which the added latency is computed from."""
+
     async def scenario() -> None:
         endpoints = EndpointServer(mean_ms=5.0)
         server = await serve(endpoints.handle, endpoints.traffic)
@@ -164,6 +181,7 @@
 
 
 def test_service_times_have_the_configured_mean() -> None:
+    """Guards against wrong parameters of the lognormal distribution."""
     service_times = ServiceTimes(20.0, 0.8, 1)
     drawn = [service_times.draw() for _ in range(20_000)]
     assert abs(sum(drawn) / len(drawn) - 0.02) < 0.001
