--- a/testbed/quota_accounting.py
+++ b/testbed/quota_accounting.py
@@ -1,6 +1,6 @@
 """Accounts for forwarded requests with an exact token bucket per tenant, after a load has ended.
 
-The gateways only estimate the remaining quotas during the load. This accounting knows the requests of all
+During the load, each gateway only estimates the remaining quotas. This accounting covers the requests of all
 gateways, and shows how many units were forwarded over quota.
 """
 
--- a/testbed/scale/plan.py
+++ b/testbed/scale/plan.py
@@ -8,8 +8,8 @@
 
 SIMULATED_GATEWAYS_PER_PROCESS = 100
 MIN_ENDPOINTS = 4
-EMULATED_SYSTEM_PROCESSES = 5  # discovery, the counter, two processes of endpoints and the load generator
 WORKER_MEMORY_MB = 60.0  # does not include the simulated gateways that the worker runs
+EMULATED_SYSTEM_PROCESSES = 5  # discovery, the counter, two processes of endpoints and the load generator
 SIMULATED_GATEWAY_MEMORY_MB = 0.3  # does not include the endpoint list
 REAL_GATEWAY_MEMORY_MB = 40.0  # does not include the endpoint list
 ENDPOINT_LIST_ENTRY_MEMORY_MB = 1.0 / 1024  # memory that one endpoint takes in each gateway
@@ -73,7 +73,7 @@
         return self.simulated_gateways + self.real_gateways
 
     def endpoint_counts(self) -> tuple[int, ...]:
-        """Return the sizes of the endpoint list, ascending: a ninth, a third and all of `endpoints`."""
+        """Return the sizes of the endpoint list, ascending: about a ninth, a third and all of `endpoints`."""
         smaller = {max(MIN_ENDPOINTS, round(self.endpoints / divisor)) for divisor in (9, 3)}
         return tuple(sorted(smaller | {self.endpoints}))
 
--- a/testbed/scale/tables.py
+++ b/testbed/scale/tables.py
@@ -32,9 +32,9 @@
     "KB at start",
     "replaced",
     "known after s",
-    "KB for it",
+    "KB for replacement",
 )
-FIT_COLUMNS = ("figure", "at none", "per 1,000 endpoints", "residual", "at 11,000", "")
+FIT_COLUMNS = ("figure", "at 0", "per 1,000 endpoints", "residual", "at 11,000", "")
 LEFT_ALIGNED_COLUMNS = {"role", "figure", ""}
 
 
@@ -93,7 +93,7 @@
 
 
 def _endpoint_list_table(sizes: Sequence[SizeFigures]) -> Table:
-    table = _new_table("Load over the endpoints, and the endpoint list", ENDPOINT_LIST_COLUMNS)
+    table = _new_table("Load on the endpoints, and the endpoint list", ENDPOINT_LIST_COLUMNS)
     for size in sizes:
         replacement = size.replacement
         table.add_row(
@@ -110,7 +110,7 @@
 
 
 def _fit_table(fits: Sequence[Fit]) -> Table:
-    table = _new_table("Lines over the sizes", FIT_COLUMNS)
+    table = _new_table("Lines fitted over the sizes of the endpoint list", FIT_COLUMNS)
     for fit in fits:
         table.add_row(
             f"{fit.figure} ({fit.unit})",
--- a/testbed/simulated_pool.py
+++ b/testbed/simulated_pool.py
@@ -1,7 +1,9 @@
 """Connection pool of simulated gateways, without sockets.
 
-The pool opens, reuses and closes connections by the rules of `api_gateway.network.upstream.pool`, but it only
-counts them. Each attempt gets its response after a random service time.
+The pool reuses idle connections and closes them after the same idle time as `ConnectionPool` in
+`api_gateway.network.upstream.pool`, but it only counts them. Each attempt gets its response after a random
+service time. Unlike in that pool, the number of connections is not bounded, and a canceled attempt does not
+close its connection.
 """
 
 from __future__ import annotations
@@ -115,9 +117,8 @@
             self._loop.call_soon(self._end, attempt, AttemptResult.CONNECT_FAILED, None)
             return
         idle = self._idle_connections(attempt.endpoint_name)
-        service_time_s = round(
-            self._endpoints.service_times.draw(), 3
-        )  # timers of the loop count milliseconds
+        # The timers of the event loop have a resolution of 1 ms.
+        service_time_s = round(self._endpoints.service_times.draw(), 3)
         connect_s = 0.0
         if idle:
             idle.pop()
--- a/tests/test_testbed_servers.py
+++ b/tests/test_testbed_servers.py
@@ -83,7 +83,7 @@
 
 
 def test_rate_limited_discovery_rejects_calls_beyond_its_queue() -> None:
-    """Guards against a service emulation that queues any number of calls, and so never overloads."""
+    """Guards against a discovery service without a limit on its queue, which would never be overloaded."""
 
     async def scenario() -> None:
         discovery = DiscoveryServer(create_test_instances(5), calls_per_s=100, max_queue_delay_s=0.05)
@@ -122,7 +122,7 @@
 
 
 def test_counter_rejects_a_fraction_of_the_calls_without_adding_them() -> None:
-    """Guards against rejected calls that change the count nevertheless."""
+    """Guards against rejected calls that are added to the count."""
 
     async def scenario() -> None:
         counter = CounterServer(10_000, rejected_fraction=0.6)
@@ -156,7 +156,7 @@
 
 
 def test_counter_limits_its_calls_a_second() -> None:
-    """Guards against a counter that queues any number of calls, and so never overloads."""
+    """Guards against a counter without a limit on its queue, which would never be overloaded."""
 
     async def scenario() -> None:
         counter = CounterServer(1000, partitions=1, max_queue_delay_s=0.02)
