--- a/api_gateway/__main__.py
+++ b/api_gateway/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m api_gateway`: run one gateway, from its start-up to its shutdown."""
+"""Entry point of `python -m api_gateway`: runs one gateway until it is terminated."""
 
 from __future__ import annotations
 
@@ -20,17 +20,16 @@
 
 EXIT_OK = 0
 EXIT_START_FAILED = 2
-GC_THRESHOLD_ALLOCATIONS = (
-    20_000  # allocations; requests leave next to no cycles, so the collector can run seldom
-)
+# Requests create almost no reference cycles, so the garbage collector can run less often than by default.
+GC_THRESHOLD_ALLOCATIONS = 20_000
 
 
 def main() -> int:
     """Run a gateway until it is terminated.
 
     Returns:
-        The exit status: 0 after a graceful shutdown; 2 with one line on standard error if the configuration
-        cannot be used, the address cannot be listened on, or another call of the system failed.
+        The exit status: 0 after a graceful shutdown; 2, with one line on standard error, if the configuration
+        is invalid, the gateway cannot listen on its address, or another system call fails.
     """
     try:
         configuration = load_configuration(os.environ)
@@ -47,14 +46,14 @@
 
 
 async def serve(configuration: Configuration) -> None:
-    """Serve requests until SIGTERM or SIGINT has been handled.
+    """Serve requests until a graceful shutdown, which SIGTERM or SIGINT starts, is finished.
 
     Args:
         configuration: The configuration of the gateway.
 
     Raises:
-        ListenError: The address for clients cannot be listened on.
-        OSError: Another call of the system failed during start-up.
+        ListenError: The gateway cannot listen on the address for clients.
+        OSError: Another system call failed during start-up.
     """
     loop = asyncio.get_running_loop()
     dispatcher = Dispatcher(configuration, loop)
@@ -76,7 +75,9 @@
 
 async def _start_up(dispatcher: Dispatcher, listener: Listener, address: Address) -> None:
     dispatcher.start()
-    await dispatcher.startup_complete.wait()  # clients are accepted once endpoints are known
+    # Clients are not accepted before discovery has responded or its timeout has expired: by the endpoint list
+    # of the configuration alone, requests could go to endpoints that have started to drain since.
+    await dispatcher.startup_complete.wait()
     try:
         host, port = listener.start(address)
     except OSError as error:
@@ -97,7 +98,7 @@
 
 
 def _shut_down(dispatcher: Dispatcher) -> None:
-    # The loop removes its signal handlers first when it closes, and a SIGHUP would then end the process.
+    # When the event loop closes, it removes its signal handlers first. A later SIGHUP would kill the process.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     dispatcher.stop()
 
--- a/api_gateway/configuration.py
+++ b/api_gateway/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration of one gateway: a JSON file and environment variables, as typed values."""
+"""The configuration of one gateway, read from a JSON file and environment variables."""
 
 from __future__ import annotations
 
@@ -23,38 +23,39 @@
 CONFIGURATION_VARIABLE = "ROUTER_CONFIG"
 OVERRIDE_VARIABLES = {"name": "ROUTER_NAME", "listen": "ROUTER_LISTEN", "discovery": "ROUTER_DISCOVERY"}
 
-# A busy counter answers later than the configured time, and a late total is as true as any other. Waiting for
-# it keeps the counter from being mistaken for one that is down.
+# Factor on the configured timeout of counter calls. A busy counter responds late, and a late counter value is
+# as valid as any other. With the configured timeout alone, a busy counter would be treated as unavailable.
 COUNTER_TIMEOUT_FACTOR = 3.0
 
 DEFAULT_MAX_DESCRIPTORS = 1024
 MIN_DESCRIPTORS = 128
+# Fractions of the file descriptors for connections from clients and to endpoints.
 DOWNSTREAM_FRACTION = 0.5
 UPSTREAM_FRACTION = 0.36
-# Held by the process beside connections to clients and endpoints: four connections to the counter and one to
-# discovery (each twice while SIGHUP moves them), the listening socket, the standard streams, the event loop's
-# own, and connections that are closed in one turn of the loop and freed in the next.
+# Descriptors for all other uses: four connections to the counter and one to discovery (twice as many while a
+# SIGHUP replaces them), the listening socket, the standard streams, those of the event loop, and connections
+# that were closed in one iteration of the event loop and are freed in the next.
 RESERVED_DESCRIPTORS = 30
 
 
 @dataclass(slots=True, frozen=True)
 class Configuration:
-    """The configuration that one gateway is started with.
+    """The configuration with which one gateway is started.
 
     Attributes:
         name: Name of the gateway in its log; empty by default.
-        listen: Host and port for clients; port 0 lets the system choose.
+        listen: Host and port on which to listen for clients; port 0 selects a free port.
         discovery: Host and port of discovery.
         counter: Host and port of the counter; None if the counter is not used.
         seed: Seed of all random draws.
-        max_descriptors: File descriptors that the process may hold; 1024 by default, and never more than
-            the limit of the system.
-        settings: The settings of the decisions.
-        cached_endpoints: The endpoint list known before discovery answers; empty by default.
-        connect_timeout_ms: Time within which a connection to an endpoint must be established; 250 by default.
+        max_descriptors: File descriptors that the process may hold; 1024 by default, and at most the limit of
+            the operating system.
+        settings: Settings of the decisions.
+        cached_endpoints: Endpoint list to use until discovery responds; empty by default.
+        connect_timeout_ms: Timeout for connecting to an endpoint; 250 by default.
         idle_timeout_ms: Time after which endpoints close an idle connection; 15000 by default.
-        max_poll_interval_ms: A gateway must ask discovery at least this often where it is polled; 10000 by
-            default.
+        max_poll_interval_ms: Longest allowed interval between two polls of discovery, if it is polled; 10000
+            by default.
     """
 
     name: str
@@ -71,15 +72,15 @@
 
 
 def load_configuration(environment: Mapping[str, str], is_reload: bool = False) -> Configuration:
-    """Read the file that `ROUTER_CONFIG` names; the other variables take precedence over the file.
+    """Load the file that `ROUTER_CONFIG` names; other environment variables override values of the file.
 
     Args:
         environment: The environment variables of the process.
-        is_reload: Whether the process is running already. The environment names the discovery of the start,
-            so the file alone names it then.
+        is_reload: Whether the configuration of a running process is reloaded. `ROUTER_DISCOVERY` is ignored
+            then: it cannot change while the process runs, and would hide a new address in the file.
 
     Raises:
-        ConfigurationError: The file cannot be read, or no gateway can be started with what it holds.
+        ConfigurationError: The file cannot be read, or its contents are invalid.
     """
     path = environment.get(CONFIGURATION_VARIABLE)
     if not path:
@@ -95,7 +96,7 @@
     """Convert the JSON object of the file to a `Configuration`.
 
     Raises:
-        ConfigurationError: No gateway can be started with it; the text names the key.
+        ConfigurationError: A value is missing or invalid; the text names its key.
     """
     values_by_path = flatten_settings(_parse_object(raw, "settings"))
     settings = _parse_settings(values_by_path)
@@ -125,14 +126,21 @@
 
 
 def max_downstream_connections(max_descriptors: int) -> int:
-    """Return how many of the descriptors connections of clients may hold."""
+    """Return how many connections from clients the process may hold.
+
+    Args:
+        max_descriptors: File descriptors that the process may hold.
+    """
     return int(DOWNSTREAM_FRACTION * max_descriptors)
 
 
 def max_upstream_connections(max_descriptors: int) -> int:
-    """Return how many of the descriptors connections to endpoints may hold.
+    """Return how many connections to endpoints the process may hold.
+
+    The result leaves `RESERVED_DESCRIPTORS` free, for example for connections to discovery and the counter.
 
-    Connections to discovery and the counter always find a descriptor beside them.
+    Args:
+        max_descriptors: File descriptors that the process may hold.
     """
     unreserved = max_descriptors - max_downstream_connections(max_descriptors) - RESERVED_DESCRIPTORS
     return min(int(UPSTREAM_FRACTION * max_descriptors), unreserved)
@@ -142,9 +150,11 @@
     try:
         raw = json.loads(Path(path).read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
-        raise ConfigurationError(f"{CONFIGURATION_VARIABLE}: cannot be read: {error}") from None
+        raise ConfigurationError(f"{CONFIGURATION_VARIABLE}: cannot read {path}: {error}") from None
     if not isinstance(raw, dict):
-        raise ConfigurationError(f"{CONFIGURATION_VARIABLE}: must hold a JSON object")
+        raise ConfigurationError(
+            f"{CONFIGURATION_VARIABLE}: {path} must contain a JSON object, not a {type(raw).__name__}"
+        )
     return raw
 
 
--- a/api_gateway/errors.py
+++ b/api_gateway/errors.py
@@ -1,26 +1,26 @@
-"""The errors of the package, as one tree below `GatewayError`."""
+"""The exceptions of the package, all derived from `GatewayError`."""
 
 from __future__ import annotations
 
 
 class GatewayError(Exception):
-    """Base of every error that this package defines."""
+    """Base class of all exceptions that this package defines."""
 
 
 class ConfigurationError(GatewayError, ValueError):
-    """The configuration cannot be used to start a gateway; the text names the key."""
+    """The configuration is invalid; the text names the key or environment variable, and the problem."""
 
 
 class ListenError(GatewayError, OSError):
-    """The address for clients cannot be listened on."""
+    """The gateway cannot listen on the address for clients."""
 
 
 class SettingError(GatewayError, ValueError):
-    """One key of the settings object has a value that cannot be used.
+    """The value of a key in the settings object is invalid. The text is `key: problem`.
 
     Attributes:
-        key: The key as the operator wrote it, such as `grades.0.objective_ms`.
-        problem: What is wrong with its value.
+        key: Key as the operator wrote it, such as `grades.0.objective_ms`.
+        problem: What is wrong with the value.
     """
 
     def __init__(self, key: str, problem: str) -> None:
@@ -30,14 +30,15 @@
 
 
 class MalformedSettingError(SettingError):
-    """The value of a key does not have the form of its type, such as a number."""
+    """The value of a key cannot be parsed as its type, such as a number."""
 
 
 class InvalidSettingError(SettingError):
-    """The value of a key is readable but not allowed.
+    """The value of a key can be parsed but is not allowed.
 
     Attributes:
-        field: The entry that the key belongs to in the terms of the model, such as `classes[read].effect`.
+        field: Path of the value in `Settings`, such as `classes[read].latency_objective_ms`. The last name is
+            the key if the value of an enum is unknown, such as `classes[read].effect`.
     """
 
     def __init__(self, key: str, problem: str, field: str) -> None:
@@ -46,8 +47,8 @@
 
 
 class MalformedEndpointListError(GatewayError, ValueError):
-    """A JSON value is not an endpoint list of discovery."""
+    """A JSON value is not a valid endpoint list of discovery."""
 
 
 class MalformedLineError(GatewayError, ValueError):
-    """A line does not follow the format of the simulator's wire."""
+    """A line of the simulator's input does not follow its format."""
--- a/api_gateway/logs.py
+++ b/api_gateway/logs.py
@@ -1,6 +1,6 @@
-"""The log: one line for each event on standard error, at a limited rate.
+"""Logging to standard error: one line for each event, at a limited rate.
 
-A line has the name of an event first and its values as `key=value` behind it.
+The message of a line starts with the name of the event, followed by its values as `key=value`.
 """
 
 from __future__ import annotations
@@ -9,19 +9,21 @@
 import sys
 import time
 
-# DEBUG adds one line for each rejected request, `request_rejected`, with the reason and the X-Request-Id. The
-# bound of MAX_LINES_PER_S holds for these lines, too.
+# DEBUG adds a `request_rejected` line, with the reason and the X-Request-Id, for each rejected request. These
+# lines count towards MAX_LINES_PER_S, too.
 LOG_LEVEL = logging.INFO
 
 MAX_LINES_PER_S = 20
 
-lifecycle_log = logging.getLogger("api_gateway.lifecycle")  # start-up, reload and shutdown: never dropped
+# Logs start-up, reload and shutdown. Its lines are exempt from the rate limit.
+lifecycle_log = logging.getLogger("api_gateway.lifecycle")
 
 
 class RateLimitFilter(logging.Filter):
-    """Drops lines beyond a rate, and writes how many were dropped when the next second has a line.
+    """Drops lines beyond MAX_LINES_PER_S, and reports how many with the first line of a later second.
 
-    Lines of `lifecycle_log` are few, and programs that start a gateway wait for them: they are not limited.
+    Lines of `lifecycle_log` are never dropped: there are few of them, and programs that start a gateway wait
+    for them.
     """
 
     def __init__(self) -> None:
@@ -30,10 +32,10 @@
         self._line_count = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Return whether a line is within the rate.
+        """Return whether a line is to be written.
 
         Args:
-            record: The record of the line.
+            record: The log record of the line.
         """
         if record.name == lifecycle_log.name:
             return True
@@ -52,10 +54,10 @@
 
 
 def configure_logging(gateway_name: str) -> None:
-    """Write the log to standard error.
+    """Configure the root logger to write to standard error.
 
     Args:
-        gateway_name: Stands in each line, behind the time.
+        gateway_name: Name of the gateway, written in each line after the time.
     """
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(logging.Formatter(f"%(asctime)s {gateway_name} %(levelname)s %(message)s"))
--- a/api_gateway/network/downstream/__init__.py
+++ b/api_gateway/network/downstream/__init__.py
@@ -1,1 +1,1 @@
-"""Connections from clients: the listener and the parsing and validation of requests."""
+"""Client connections: the listener, request parsing and validation, and response serialization."""
--- a/api_gateway/network/downstream/connection.py
+++ b/api_gateway/network/downstream/connection.py
@@ -1,4 +1,4 @@
-"""One connection of a client: reads its requests, and writes one response to each of them."""
+"""One client connection: reads requests and writes one response to each of them, in order."""
 
 from __future__ import annotations
 
@@ -24,32 +24,41 @@
 
 READY_PATH = b"/ready"
 API_PATH_PREFIX = b"/api/"
-MAX_REQUEST_WIRE_BYTES = MAX_HEADER_BYTES + 2 * MAX_BODY_BYTES  # with the chunk lines of the body
-MAX_PIPELINED_REQUESTS = 16  # queued behind the one in flight
+# A chunked body is longer on the wire than its data, since each chunk is preceded by a line with its size.
+MAX_REQUEST_WIRE_BYTES = MAX_HEADER_BYTES + 2 * MAX_BODY_BYTES
+# Requests that may be queued behind the one in flight.
+MAX_PIPELINED_REQUESTS = 16
+# If more input than this is discarded after the last response, the connection is aborted.
 MAX_LINGER_BYTES = 1024 * 1024
-REQUEST_READ_TIMEOUT_S = 2.0  # for a whole request; for the first one from the connect on
-IDLE_TIMEOUT_S = 4.0  # after a response
-LINGER_TIMEOUT_S = 1.0  # from the last response to the abort, if the client does not close
-FIRST_REQUEST_TRANSIT_S = 0.1  # during shutdown, a first request may be in transit for this long
+# Time within which a request must be complete. It starts with the first byte or with the previous response,
+# whichever is later; for the first request of a connection, when the connection is opened.
+REQUEST_READ_TIMEOUT_S = 2.0
+# Time from a response to the first byte of the next request.
+IDLE_TIMEOUT_S = 4.0
+# Time from the last response until the connection is aborted, if the client does not close it.
+LINGER_TIMEOUT_S = 1.0
+# During shutdown, a new connection stays open for this long, since its first request may be in transit.
+FIRST_REQUEST_TRANSIT_S = 0.1
 
 
 class DownstreamConnection(asyncio.Protocol):
-    """One connection of a client.
+    """One client connection.
 
-    Its requests are served one at a time, in their order (pipelining, RFC 9112 section 9.3.2):
+    Requests are served one at a time, in the order of their arrival (pipelining, RFC 9112 section 9.3.2):
 
-    * Reading: bytes go to the parser, and complete requests into a queue. Reading pauses while a request is
-      queued.
-    * Awaiting a response: the first request of the queue has been taken out; `respond` ends this.
-    * Discarding input: after the last response, or once the input cannot be parsed. What still arrives is
-      read and discarded up to a limit of bytes and time: a close with unread data would reset the connection,
-      and the client could lose the response (RFC 9112 section 9.6).
+    * Reading: input goes to the parser, which adds complete requests to a queue. Reading is paused while the
+      queue is not empty.
+    * Awaiting a response: one request has been removed from the queue and is in flight until `respond` is
+      called.
+    * Discarding input: starts with the last response, or as soon as the input cannot be parsed. Further input
+      is read and discarded, up to a limit of bytes and time. Closing the socket with unread data would reset
+      the connection, and the client could lose the response (RFC 9112 section 9.6).
 
     Attributes:
-        transport: The transport, once connected.
+        transport: The transport; None until the connection is made.
         has_responded: Whether at least one response has been written.
-        receiving_since_s: Loop time at which the connection was opened, its last response was written, or the
-            request that is being read began, whichever came last.
+        receiving_since_s: Time of the event loop in seconds at which the connection was opened, its last
+            response was written, or the request being read began, whichever came last. Timeouts run from it.
     """
 
     def __init__(self, listener: Listener) -> None:
@@ -59,50 +68,51 @@
         self._listener = listener
         self._dispatcher = listener.dispatcher
         self._parser = httptools.HttpRequestParser(self)
-        self._partial_request: ParsedRequest | None = None  # being read
-        self._received_bytes = 0  # of the request being read, or discarded after the last response
+        self._partial_request: ParsedRequest | None = None
+        # Counts the bytes of the request being read, or those discarded after the last response.
+        self._received_bytes = 0
         self._queue: deque[ParsedRequest | BadRequestError] = deque()
         self._is_awaiting_response = False
-        self._request_id: str | None = None  # of the request that the dispatcher has
-        self._keep_alive = True  # of the request that awaits its response
+        self._request_id: str | None = None  # the dispatcher's id of the request in flight
+        self._keep_alive = True  # whether the client allows further requests after the one in flight
         self._is_discarding_input = False
         self._is_serving_queue = False
         self._is_reading_paused = False
         self._is_writing_paused = False
 
-    # asyncio.Protocol
+    # Callbacks of asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register the new connection."""
+        """Register the connection with the listener."""
         self.transport = transport
         self._listener.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has arrived, and serve the requests that it completes."""
+        """Parse the data, and serve the requests that it completes."""
         self._received_bytes += len(data)
         if self._is_discarding_input:
             if self._received_bytes > MAX_LINGER_BYTES:
                 self.transport.abort()
             return
         if self._partial_request is None and not self._is_awaiting_response and self.has_responded:
-            self._listener.connection_receiving(self)  # the request read timeout runs from here
+            self._listener.connection_receiving(self)  # starts the timeout for reading a request
         self._parse(data)
         self._serve_queue()
 
     def pause_writing(self) -> None:
-        """Take no further request until the client has read its responses."""
+        """Serve no further request until the client has read most of the pending responses."""
         self._is_writing_paused = True
 
     def resume_writing(self) -> None:
-        """Continue with the queued requests."""
+        """Continue to serve the queued requests."""
         self._is_writing_paused = False
         self._serve_queue()
 
     def eof_received(self) -> None:
-        """Let the transport close: a client that ends its side is taken as disconnected."""
+        """Let the transport close the connection: a half-close by the client counts as a disconnect."""
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Report to the dispatcher that nobody waits for the response any more."""
+        """Remove the connection, and tell the dispatcher that the request in flight has lost its client."""
         self._listener.connection_closed(self)
         self._is_discarding_input = True
         self._queue.clear()
@@ -110,25 +120,33 @@
             self._dispatcher.client_disconnected(self._request_id)
             self._request_id = None
 
-    # httptools; what these callbacks raise becomes the context of an HttpParserError
+    # Callbacks of httptools. An exception that they raise becomes the `__context__` of an HttpParserError.
 
     def on_message_begin(self) -> None:
-        """Begin a request, unless too many are queued already."""
+        """Start a request.
+
+        Raises:
+            BadRequestError: If too many requests are queued already.
+        """
         if len(self._queue) > MAX_PIPELINED_REQUESTS:
-            raise BadRequestError("too many pipelined requests")
+            raise BadRequestError(f"more than {MAX_PIPELINED_REQUESTS} pipelined requests are waiting")
         self._partial_request = ParsedRequest()
 
     def on_url(self, url: bytes) -> None:
-        """Add a piece of the request target."""
+        """Append a fragment of the request target."""
         self._partial_request.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Add a header."""
+        """Store a header if the gateway uses it.
+
+        Raises:
+            BadRequestError: If the header section is longer than `MAX_HEADER_BYTES`.
+        """
         request = self._partial_request
         name = name.lower()
         request.header_bytes += len(name) + len(value)
         if request.header_bytes > MAX_HEADER_BYTES:
-            raise BadRequestError("header section is too long")
+            raise BadRequestError(f"header section is longer than {MAX_HEADER_BYTES} bytes")
         if name in KNOWN_HEADERS:
             headers = request.headers
             if name in headers:
@@ -136,7 +154,11 @@
             headers[name] = value
 
     def on_headers_complete(self) -> None:
-        """Check the framing before any of the body is read."""
+        """Check the framing before the body is read.
+
+        Raises:
+            BadRequestError: If the length of the body is ambiguous or too large.
+        """
         request = self._partial_request
         request.method = self._parser.get_method()
         request.path = request.target.partition(b"?")[0]
@@ -145,7 +167,11 @@
             self.transport.write(CONTINUE_RESPONSE)
 
     def on_body(self, data: bytes) -> None:
-        """Add a piece of the body."""
+        """Append a fragment of the body.
+
+        Raises:
+            BadRequestError: If the body is longer than `MAX_BODY_BYTES`.
+        """
         self._partial_request.add_body(data)
 
     def on_message_complete(self) -> None:
@@ -163,27 +189,31 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            # No other protocol is offered: the request is served, as the last one (RFC 9110 section 7.8).
+            # Upgrades are not supported: the Upgrade header is ignored and the request served over HTTP/1.1
+            # (RFC 9110 section 7.8). The parser stops here, so this is the last request of the connection.
             self._is_discarding_input = True
             self._queue[-1].keep_alive = False
         except httptools.HttpParserError as error:
             cause = error.__context__
-            self._reject(cause if isinstance(cause, BadRequestError) else BadRequestError("malformed"))
+            self._reject(
+                cause if isinstance(cause, BadRequestError) else BadRequestError("input is not valid HTTP")
+            )
         else:
-            # Bounds what the parser buffers or skips itself, such as a header or chunk line without an end.
+            # Limits input that the parser consumes without a callback, such as an endless header or chunk
+            # line.
             is_reading_head = self._partial_request is not None and not self._partial_request.method
             if self._received_bytes > (MAX_HEADER_BYTES if is_reading_head else MAX_REQUEST_WIRE_BYTES):
-                self._reject(BadRequestError("message is too long"))
+                self._reject(BadRequestError("request has too many bytes on the wire"))
 
     def _reject(self, error: BadRequestError) -> None:
-        """Queue an error behind the requests that came before it, and discard all further input."""
+        """Queue an error behind the requests that precede it, and discard all further input."""
         if not self._is_discarding_input:
             self._is_discarding_input = True
             self._partial_request = None
             self._queue.append(error)
 
     def _serve_queue(self) -> None:
-        """Serve the queued requests one at a time; reading is paused while any is queued."""
+        """Serve the queued requests one at a time; pause reading while the queue is not empty."""
         if self._is_serving_queue or self.transport is None:
             return
         self._is_serving_queue = True
@@ -219,7 +249,7 @@
         if path == READY_PATH and request.method == b"GET":
             self.respond(200 if self._dispatcher.is_ready() else 503)
         elif not path.startswith(API_PATH_PREFIX):
-            raise BadRequestError("path", 404)
+            raise BadRequestError(f"path: expected /ready (with GET) or /api/..., got {path!r}", 404)
         elif self._dispatcher.is_terminated:
             self.respond(503)
         else:
@@ -229,8 +259,8 @@
         inbound_request = self._listener.validator.validate(request)
         request_id = self._dispatcher.submit(self, inbound_request)
         if request_id is None:
-            raise BadRequestError("X-Request-Id is in use", 409)
-        if self._is_awaiting_response:  # the dispatcher may have responded within the call
+            raise BadRequestError("X-Request-Id belongs to an open request", 409)
+        if self._is_awaiting_response:  # False if the dispatcher has responded within `submit`
             self._request_id = request_id
 
     # Responses
@@ -243,8 +273,8 @@
         Args:
             status: Status code.
             body: Response body.
-            content_type: Value of Content-Type; empty for none.
-            retry_after_ms: When the client may send the request again; 0 for no Retry-After.
+            content_type: Value of the Content-Type header; empty to omit the header.
+            retry_after_ms: Value of the Retry-After header in milliseconds; 0 to omit the header.
         """
         self._request_id = None
         self._is_awaiting_response = False
@@ -253,24 +283,24 @@
             return
         keep_alive = self._keep_alive and not self._dispatcher.is_draining
         self.transport.write(serialize_response(status, body, content_type, retry_after_ms, keep_alive))
-        # After the write: a connection that is receiving may be evicted unless its response is still unsent.
+        # Must follow the write: a receiving connection may be evicted at once, unless it has unsent bytes.
         self._listener.connection_receiving(self)
         if not keep_alive:
             self._close_after_response(status)
         self._serve_queue()
 
     def _respond_to_bad_request(self, error: BadRequestError) -> None:
-        self._keep_alive = False  # so that a client has to reconnect for each bad request
+        self._keep_alive = False  # makes repeated bad requests cost the client a new connection each
         self.respond(error.status)
 
     def abort_if_disconnected(self) -> bool:
         """Abort the connection if the client has closed it.
 
-        The socket is asked, since nothing is read while requests are queued. While reading is paused, the
-        event loop does not report the end of the connection, so it is aborted here.
+        Polls the socket: reading is paused while requests are queued, and the event loop does not report the
+        end of a connection while reading is paused.
 
         Returns:
-            Whether the client has closed it.
+            Whether the client has closed the connection.
         """
         if not is_closed_by_peer(self.transport):
             return False
@@ -278,7 +308,7 @@
         return True
 
     def _close_after_response(self, status: int) -> None:
-        """Close, or half-close if the client may still be sending, and discard what arrives."""
+        """Close the connection, or half-close it if the client may be sending, and discard further input."""
         may_be_sending = self._partial_request is not None or 400 <= status < 500
         self._is_discarding_input = True
         self._queue.clear()
@@ -291,17 +321,19 @@
     # Timeouts, eviction and shutdown
 
     def enforce_timeouts(self, now_s: float) -> None:
-        """Close the connection, or reject the request being read, if its timeout is over.
+        """Close the connection, or reject the request being read, if its timeout has expired.
+
+        Must only be called while no response is awaited.
 
         Args:
-            now_s: The loop time. Only called while no response is awaited.
+            now_s: Time of the event loop in seconds.
         """
         waited_s = now_s - self.receiving_since_s
         if self._is_discarding_input:
             if waited_s > LINGER_TIMEOUT_S:
                 self.transport.abort()
         elif self._partial_request is not None and waited_s > REQUEST_READ_TIMEOUT_S:
-            self._reject(BadRequestError("request was not complete in time", 408))
+            self._reject(BadRequestError("request was not complete within its timeout", 408))
             self._serve_queue()
         elif waited_s > self._idle_timeout_s() and self.is_idle():
             self.transport.close()
@@ -310,9 +342,9 @@
         return IDLE_TIMEOUT_S if self.has_responded else REQUEST_READ_TIMEOUT_S
 
     def is_idle(self) -> bool:
-        """Return whether no request is in flight, queued, being read, or unread in the kernel.
+        """Return whether no request is in flight, queued, being read, or unread in the socket buffer.
 
-        If a connection with an unread request were closed, the request would fail at the client.
+        Closing a connection with an unread request would make the request fail at the client.
         """
         return not (
             self._is_awaiting_response
@@ -323,18 +355,18 @@
         )
 
     def is_evictable(self) -> bool:
-        """Return whether an abort loses neither unsent bytes nor an unread request.
+        """Return whether the connection can be aborted without losing unsent bytes or unread input.
 
-        Only called while no response is awaited. A request that is half read does not count.
+        A partially read request does not prevent eviction. Must only be called while no response is awaited.
         """
         transport = self.transport
         return not (transport.is_closing() or transport.get_write_buffer_size() or has_unread_data(transport))
 
     def close_if_idle(self, now_s: float) -> None:
-        """Close the connection if it is idle and its first request is not likely to be on its way.
+        """Close the connection if it is idle, unless its first request may still be in transit.
 
         Args:
-            now_s: The loop time.
+            now_s: Time of the event loop in seconds.
         """
         waited_s = now_s - self.receiving_since_s
         if self.is_idle() and (self.has_responded or waited_s > FIRST_REQUEST_TRANSIT_S):
--- a/api_gateway/network/downstream/listener.py
+++ b/api_gateway/network/downstream/listener.py
@@ -1,4 +1,4 @@
-"""Accepts connections of clients, bounds their number, and closes those whose timeouts are over."""
+"""Accepts client connections, limits their number, and enforces their timeouts."""
 
 from __future__ import annotations
 
@@ -18,35 +18,38 @@
 BACKLOG = 256
 TIMEOUT_CHECK_INTERVAL_S = 0.25
 ACCEPT_RETRY_DELAY_S = 0.05
-MAX_ACCEPTS_PER_ITERATION = 16  # of the loop, which has other sockets to serve
-MAX_EVICTION_CANDIDATES = 16  # each costs a system call
+# Connections accepted in one iteration of the event loop, so that a burst does not delay other sockets.
+MAX_ACCEPTS_PER_ITERATION = 16
+# Connections checked in a search for one to evict. Each check takes a system call.
+MAX_EVICTION_CANDIDATES = 16
 
 
 class Listener:
-    """The listening socket and the connections of all clients.
+    """The listening socket and all client connections.
 
     Attributes:
         dispatcher: Serves the requests.
         loop: The event loop.
-        validator: Checks the requests.
-        connections: All open connections.
+        validator: Validates the requests.
+        connections: The open connections.
     """
 
     def __init__(self, dispatcher: Dispatcher, loop: asyncio.AbstractEventLoop, max_descriptors: int) -> None:
-        """Prepare to listen.
+        """Create a listener that does not listen yet.
 
         Args:
             dispatcher: Serves the requests.
             loop: The event loop.
-            max_descriptors: File descriptors of the whole process; clients get a share of them.
+            max_descriptors: File descriptors that the process may hold. Client connections may use a fraction
+                of them.
         """
         self.dispatcher = dispatcher
         self.loop = loop
         self.validator = RequestValidator(dispatcher.settings)
         self.connections: set[DownstreamConnection] = set()
         self._max_connections = max_downstream_connections(max_descriptors)
-        # Connections that await no response, so that only the client may send, in the order of their
-        # `receiving_since_s`; used as ordered sets. They are not all idle: a request may be half read.
+        # Ordered sets of the connections that await no response, in ascending order of `receiving_since_s`.
+        # Not all of them are idle: a connection may have read a part of a request.
         self._receiving_after_response: dict[DownstreamConnection, None] = {}
         self._receiving_first_request: dict[DownstreamConnection, None] = {}
         self._socket: socket.socket | None = None
@@ -54,16 +57,16 @@
         self._accept_tasks: set[asyncio.Task] = set()
 
     def start(self, address: tuple[str, int]) -> tuple[str, int]:
-        """Listen, and begin to accept connections.
+        """Listen, and start to accept connections.
 
         Args:
-            address: IP address and port; port 0 lets the system choose one.
+            address: IP address and port; port 0 selects a free port.
 
         Returns:
-            The address with the actual port.
+            The IP address and the port that the socket is bound to.
 
         Raises:
-            OSError: If the address is not available.
+            OSError: If the gateway cannot listen on the address.
         """
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         self._socket = socket.socket(family, socket.SOCK_STREAM)
@@ -76,12 +79,13 @@
         return self._socket.getsockname()[:2]
 
     def stop_accepting(self) -> bool:
-        """Accept what is in the backlog, then close the listening socket.
+        """Accept the connections in the backlog, then close the listening socket.
 
-        The close resets connections in the backlog, so the socket stays open until all of them are accepted.
+        Closing the socket resets the connections in its backlog, so it stays open until all are accepted.
 
         Returns:
-            Whether the socket is closed; if not, there is no capacity yet, and the call must be repeated.
+            Whether the socket is closed. If not, the connection limit is reached and the call must be
+            repeated.
         """
         if self._socket is not None and self._accept(BACKLOG + 1):
             self._pause_accepting()
@@ -93,7 +97,7 @@
         """Close the idle connections.
 
         Returns:
-            Whether no connection is left.
+            Whether all connections are closed.
         """
         now_s = self.loop.time()
         for connection in list(self.connections):
@@ -103,28 +107,28 @@
     # Called by the connections
 
     def connection_opened(self, connection: DownstreamConnection) -> None:
-        """Add a connection that waits for its first request."""
+        """Add a new connection, which waits for its first request."""
         self.connections.add(connection)
         self.connection_receiving(connection)
 
     def connection_receiving(self, connection: DownstreamConnection) -> None:
-        """Note that a connection awaits no response, and start its timeouts."""
+        """Record that a connection awaits no response, and restart its timeouts."""
         connection.receiving_since_s = self.loop.time()
         if connection.has_responded:
             receiving = self._receiving_after_response
         else:
             receiving = self._receiving_first_request
-        receiving.pop(connection, None)  # so that it is added as the last one
+        receiving.pop(connection, None)  # moves the connection to the end of the order
         receiving[connection] = None
         self._resume_accepting()
 
     def connection_awaiting_response(self, connection: DownstreamConnection) -> None:
-        """Note that a connection awaits a response, so that it is neither evicted nor timed out."""
+        """Record that a connection awaits a response; it is neither evicted nor timed out meanwhile."""
         self._receiving_after_response.pop(connection, None)
         self._receiving_first_request.pop(connection, None)
 
     def connection_closed(self, connection: DownstreamConnection) -> None:
-        """Remove a connection; another one can be accepted."""
+        """Remove a connection, which makes room for a new one."""
         self.connections.discard(connection)
         self.connection_awaiting_response(connection)
         self._resume_accepting()
@@ -132,7 +136,7 @@
     # Capacity
 
     def _ensure_capacity(self) -> bool:
-        """Return whether one more connection is allowed, after evicting a receiving one if necessary."""
+        """Return whether one more connection may be accepted; evict a connection if that is necessary."""
         if len(self.connections) + len(self._accept_tasks) < self._max_connections:
             return True
         connection = self._find_evictable()
@@ -143,10 +147,10 @@
         return True
 
     def _find_evictable(self) -> DownstreamConnection | None:
-        """Return the connection whose abort affects its client least.
+        """Return the connection whose abort affects its client least; None if none can be evicted.
 
-        One that has had a response comes first: its client repeats the next request on another connection,
-        while the first request on a connection that is aborted fails.
+        Connections with a previous response come first: HTTP clients retry a request on a new connection if a
+        reused connection is closed, but report an error if a new connection is closed before any response.
         """
         for receiving in (self._receiving_after_response, self._receiving_first_request):
             for connection in islice(receiving, MAX_EVICTION_CANDIDATES):
@@ -167,7 +171,7 @@
             self.loop.remove_reader(self._socket)
 
     def _accept(self, max_accepts: int) -> bool:
-        """Accept connections from the backlog; return whether the backlog is empty then."""
+        """Accept up to `max_accepts` connections; return whether the backlog was emptied."""
         for _ in range(max_accepts):
             if not self._ensure_capacity():
                 self._pause_accepting()
@@ -198,7 +202,8 @@
         self._accept_tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             log.warning("connection_setup_failed error=%r", task.exception())
-        # Until now the connection counted twice, which may have paused the listener below its bound.
+        # While its task was pending, the connection counted twice against the limit, which may have paused
+        # the listener too early.
         self._resume_accepting()
 
     # Timeouts
--- a/api_gateway/network/downstream/request_parsing.py
+++ b/api_gateway/network/downstream/request_parsing.py
@@ -1,4 +1,4 @@
-"""The codec of client requests: their headers, their framing, and the request that goes on upstream."""
+"""Parsing and validation of client requests, and the request head that is forwarded upstream."""
 
 from __future__ import annotations
 
@@ -12,7 +12,8 @@
 
 MAX_HEADER_BYTES = 32 * 1024
 MAX_BODY_BYTES = 64 * 1024
-TENANT_ID_LIMIT = 2**33  # the protocol page: tenants are numbers below 2**33, written as 16 hex digits
+# The protocol defines a tenant as a number below 2**33, written as 16 hexadecimal digits.
+TENANT_ID_LIMIT = 2**33
 
 REQUEST_ID_HEADER = b"x-request-id"
 REQUEST_CLASS_HEADER = b"x-class"
@@ -50,7 +51,9 @@
 
 
 class BadRequestError(GatewayError, ValueError):
-    """A request that is rejected, with its connection closed after the response.
+    """A request is invalid. It is rejected, and its connection is closed after the response.
+
+    The text of the error is not sent to the client.
 
     Attributes:
         status: Status code of the response.
@@ -62,19 +65,19 @@
 
 
 class ParsedRequest:
-    """A request as parsed from its connection; filled in while its bytes arrive.
+    """A request, filled in by the parser callbacks while its bytes arrive.
 
     Attributes:
-        target: The request target (RFC 9112 section 3.2).
-        path: The target without its query; empty until the header section is complete.
-        method: The method; empty until the header section is complete.
-        headers: Values of the `KNOWN_HEADERS` by name in lower case.
-        header_bytes: Length of all header names and values.
-        has_repeated_header: Whether one of the `KNOWN_HEADERS` occurred twice.
-        body: The body in the pieces in which it arrived.
+        target: Request target (RFC 9112 section 3.2).
+        path: Target without its query; empty until the header section is complete.
+        method: Request method; empty until the header section is complete.
+        headers: Values of the headers in `KNOWN_HEADERS` by name in lower case; others are dropped.
+        header_bytes: Total length of all header names and values.
+        has_repeated_header: Whether a header in `KNOWN_HEADERS` occurred more than once.
+        body: Fragments of the body, in order.
         body_bytes: Length of the body.
         keep_alive: Whether the connection persists after the response (RFC 9112 section 9.3).
-        received_at_s: When its last byte was read, by `time.monotonic`.
+        received_at_s: Time at which the last byte was read, in seconds of `time.monotonic`.
     """
 
     __slots__ = (
@@ -108,39 +111,44 @@
         return self.headers.get(EXPECT_HEADER, b"").lower() == b"100-continue"
 
     def add_body(self, data: bytes) -> None:
-        """Add a piece of the body.
+        """Append a fragment of the body.
 
         Raises:
             BadRequestError: If the body is longer than `MAX_BODY_BYTES`.
         """
         self.body_bytes += len(data)
         if self.body_bytes > MAX_BODY_BYTES:
-            raise BadRequestError("body is too long", 413)
+            raise BadRequestError(f"body is longer than {MAX_BODY_BYTES} bytes", 413)
         self.body.append(data)
 
     def check_framing(self) -> None:
-        """Check that the length of the body is unambiguous and allowed (RFC 9112 section 6.3).
+        """Check that the length of the body is unambiguous and within its limit (RFC 9112 section 6.3).
 
-        A message that two parsers could divide differently can hide a second request in its body (RFC 9112
-        section 11.2).
+        If two parsers could disagree on where a message ends, its body could smuggle a second request past
+        one of them (RFC 9112 section 11.2).
 
         Raises:
-            BadRequestError: If it is not.
+            BadRequestError: If the length is ambiguous or above `MAX_BODY_BYTES`.
         """
         content_length = self.headers.get(CONTENT_LENGTH_HEADER)
         transfer_encoding = self.headers.get(TRANSFER_ENCODING_HEADER)
         if self.has_repeated_header:
-            raise BadRequestError("repeated header")
+            raise BadRequestError("a header that may occur only once is repeated")
         if transfer_encoding is not None:
             if content_length is not None or transfer_encoding.strip().lower() != b"chunked":
-                raise BadRequestError("Transfer-Encoding")
+                raise BadRequestError(
+                    "Transfer-Encoding: expected chunked, without Content-Length; "
+                    f"got {transfer_encoding!r}, Content-Length {content_length!r}"
+                )
             return
         if content_length is None:
             return
         if not content_length.isdigit():
-            raise BadRequestError("Content-Length")
+            raise BadRequestError(f"Content-Length: expected a decimal number, got {content_length!r}")
         if int(content_length) > MAX_BODY_BYTES:
-            raise BadRequestError("Content-Length", 413)
+            raise BadRequestError(
+                f"Content-Length: expected at most {MAX_BODY_BYTES}, got {content_length!r}", 413
+            )
 
 
 class QuotaInfo(NamedTuple):
@@ -148,8 +156,8 @@
 
     Attributes:
         units: Size of the request in quota units, as estimated by the client.
-        gateway_count: Number of gateways that the tenant's requests may come through.
-        first_gateway: Index of the first of them.
+        gateway_count: Number of gateways over which the tenant's requests are distributed.
+        first_gateway: Index of the first of these gateways in the fleet.
     """
 
     units: float
@@ -158,10 +166,11 @@
 
 
 class RequestValidator:
-    """Checks requests against the settings, and converts them for the dispatcher.
+    """Validates requests against the settings, and converts them for the dispatcher.
 
     Attributes:
-        parse_quota_info: Parses the value of a Quota-Info header; cached, since few values recur.
+        parse_quota_info: Converts the value of a Quota-Info header to a `QuotaInfo`. Results are cached,
+            since the same few values recur.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -175,14 +184,17 @@
         """Convert a complete request.
 
         Raises:
-            BadRequestError: If it breaks the protocol, or names what the settings do not have.
+            BadRequestError: If the request breaks the protocol, or its class or plan is not in the settings.
         """
         headers = request.headers
         tenant = _parse_tenant(request.path)
         request_class = self._classes.get(headers.get(REQUEST_CLASS_HEADER, b""))
         plan_name = self._plans.get(headers.get(PLAN_HEADER, b""))
         if request_class is None or plan_name is None:
-            raise BadRequestError("X-Class or Plan")
+            raise BadRequestError(
+                "X-Class and Plan: expected a class and a plan of the settings, "
+                f"got {headers.get(REQUEST_CLASS_HEADER)!r} and {headers.get(PLAN_HEADER)!r}"
+            )
         remaining_ms = _parse_deadline(headers.get(DEADLINE_HEADER, b""))
         quota_info = self.parse_quota_info(headers.get(QUOTA_INFO_HEADER, b""))
         return InboundRequest(
@@ -201,7 +213,11 @@
         )
 
     def _parse_quota_info(self, value: bytes) -> QuotaInfo:
-        """Parse a value such as `units=2,spread=3,first=1`."""
+        """Parse a value such as `units=2,spread=3,first=1`.
+
+        Raises:
+            BadRequestError: If the value does not have this form, or a number is out of range.
+        """
         parts = value.decode("latin-1").split(",")
         fields = dict(part.strip().partition("=")[::2] for part in parts)
         units, spread, first = (fields.get(name, "") for name in ("units", "spread", "first"))
@@ -210,42 +226,67 @@
             and _INTEGER_PATTERN.fullmatch(spread)
             and _INTEGER_PATTERN.fullmatch(first)
         ):
-            raise BadRequestError("Quota-Info")
+            raise BadRequestError(
+                f"Quota-Info: expected units=NUMBER,spread=INTEGER,first=INTEGER, got {value!r}"
+            )
         quota_info = QuotaInfo(float(units), int(spread), int(first))
         if not (
             0 < quota_info.units <= self._max_units
             and 1 <= quota_info.gateway_count <= self._fleet_size
             and quota_info.first_gateway < self._fleet_size
         ):
-            raise BadRequestError("Quota-Info is out of range")
+            raise BadRequestError(
+                f"Quota-Info: expected units above 0 and at most {self._max_units:g}, spread from 1 to "
+                f"{self._fleet_size} and first below {self._fleet_size}, got {value!r}"
+            )
         return quota_info
 
 
 def _parse_tenant(path: bytes) -> str:
-    """Return the tenant that the last segment of the path names."""
+    """Return the last segment of the path, the tenant, in lower case.
+
+    Raises:
+        BadRequestError: If the segment is not a tenant.
+    """
     tenant = path.rpartition(b"/")[2]
     if not _TENANT_PATTERN.fullmatch(tenant) or int(tenant, 16) >= TENANT_ID_LIMIT:
-        raise BadRequestError("tenant")
+        raise BadRequestError(f"tenant: expected 16 hexadecimal digits below 2**33, got {tenant!r}")
     return tenant.decode().lower()
 
 
 def _parse_deadline(value: bytes) -> float:
-    """Return the milliseconds that an X-Deadline header gives, such as `250m` or, in microseconds, `900u`."""
+    """Return the time in an X-Deadline header in milliseconds.
+
+    Args:
+        value: A number with its unit, milliseconds as in `250m` or microseconds as in `900u`.
+
+    Raises:
+        BadRequestError: If the value does not have this form.
+    """
     match = _DEADLINE_PATTERN.fullmatch(value)
     if match is None:
-        raise BadRequestError("X-Deadline")
+        raise BadRequestError(f"X-Deadline: expected a number followed by m or u, got {value!r}")
     return float(match[1]) / (1 if match[2] == b"m" else 1000)
 
 
 def _serialize_upstream_head(request: ParsedRequest, request_class: RequestClass) -> bytes:
-    """Return the request line and headers that are forwarded, without X-Deadline and the final CRLF."""
+    """Return the request line and the headers to forward, without X-Deadline and the final empty line.
+
+    X-Deadline is added when an attempt is written, since its value depends on that time.
+
+    Raises:
+        BadRequestError: If X-Request-Id or Idempotency-Key is malformed, or the request does not fit the
+            idempotency of its class.
+    """
     headers = request.headers
     request_id = headers.get(REQUEST_ID_HEADER, b"")
     idempotency_key = headers.get(IDEMPOTENCY_KEY_HEADER)
     if not _IDENTIFIER_PATTERN.fullmatch(request_id):
-        raise BadRequestError("X-Request-Id")
+        raise BadRequestError(f"X-Request-Id: expected 1 to 128 visible ASCII characters, got {request_id!r}")
     if idempotency_key is not None and not _IDENTIFIER_PATTERN.fullmatch(idempotency_key):
-        raise BadRequestError("Idempotency-Key")
+        raise BadRequestError(
+            f"Idempotency-Key: expected 1 to 128 visible ASCII characters, got {idempotency_key!r}"
+        )
     _check_idempotency(request, request_class)
     parts = [request.method, b" ", request.target, b" HTTP/1.1\r\nHost: upstream\r\n"]
     parts += (b"X-Request-Id: ", request_id, b"\r\n")
@@ -260,11 +301,18 @@
 
 
 def _check_idempotency(request: ParsedRequest, request_class: RequestClass) -> None:
-    """Check that the method, key and body fit the idempotency of the class (RFC 9110 section 9.2.2)."""
+    """Check that method, key and body fit the idempotency of the request class (RFC 9110 section 9.2.2).
+
+    Raises:
+        BadRequestError: If one of them does not.
+    """
     is_idempotent = request_class.idempotency is Idempotency.IDEMPOTENT
     if request.method != (b"GET" if is_idempotent else b"POST"):
-        raise BadRequestError("method")
+        raise BadRequestError(
+            f"method: expected {'GET' if is_idempotent else 'POST'} for class {request_class.name!r}, "
+            f"got {request.method!r}"
+        )
     if is_idempotent and request.body:
-        raise BadRequestError("body")
+        raise BadRequestError(f"body: expected none with GET, got {request.body_bytes} bytes")
     if request_class.idempotency is Idempotency.WITH_KEY and IDEMPOTENCY_KEY_HEADER not in request.headers:
-        raise BadRequestError("Idempotency-Key")
+        raise BadRequestError(f"Idempotency-Key: is missing, but class {request_class.name!r} requires it")
--- a/api_gateway/network/downstream/response_writer.py
+++ b/api_gateway/network/downstream/response_writer.py
@@ -1,4 +1,4 @@
-"""Serializes the responses to clients (RFC 9112)."""
+"""Serialization of responses to clients (RFC 9112)."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 def serialize_response(
     status: int, body: bytes, content_type: bytes, retry_after_ms: float, keep_alive: bool
 ) -> bytes:
-    """Return a response as it stands on the wire.
+    """Return the bytes of a response.
 
     Args:
-        status: Status code; one of the `REASON_PHRASES`.
-        body: The body.
-        content_type: Value of Content-Type; empty for none.
-        retry_after_ms: When the client may send the request again; 0 for no Retry-After. It is written in
-            seconds with three decimals, an extension of RFC 9110 section 10.2.3.
-        keep_alive: Whether the connection stays open.
+        status: Status code; one of the keys of `REASON_PHRASES`.
+        body: Response body.
+        content_type: Value of the Content-Type header; empty to omit the header.
+        retry_after_ms: Value of the Retry-After header in milliseconds; 0 to omit the header. It is written
+            in seconds with three decimals, an extension of RFC 9110 section 10.2.3, which has whole seconds.
+        keep_alive: Whether the connection stays open after the response.
     """
     parts = [STATUS_LINES[status], b"Content-Length: %d\r\n" % len(body)]
     if content_type:
--- a/api_gateway/settings_codec.py
+++ b/api_gateway/settings_codec.py
@@ -1,8 +1,8 @@
-"""Translation of the settings object, as operators write it, into `Settings`.
+"""Conversion of the settings object, as operators write it, to `Settings`.
 
-The same keys arrive in two forms: nested JSON in the configuration file, and `path=value` pairs in the first
-message of the simulator. Both become a mapping of paths to texts, such as `grades.0.objective_ms` to `250`,
-which the tables below translate. The names of the keys stand nowhere else.
+The settings come in two forms with the same keys: nested JSON in the configuration file, and `path=value`
+pairs in the first message of the simulator. Both are first converted to a mapping of paths to texts, such as
+`grades.0.objective_ms` to `250`, and then to `Settings` by the tables below. No other module names the keys.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 
 
 class SettingKey(NamedTuple):
-    """One row of a translation table.
+    """A key of the settings object, and the field of the model that it sets.
 
     Attributes:
-        key: The key as operators write it.
-        field: The field of the model that it sets.
-        decode: Converts the text of the value; raises ValueError where the form is wrong.
-        default: The value of the field where the key is missing.
+        key: Key as operators write it, relative to its group.
+        field: Name of the field in `Settings`, `RequestClass`, `Plan` or `TransportSettings`.
+        decode: Converts the text of the value; raises ValueError if the text is malformed.
+        default: Value of the field if the key is missing.
     """
 
     key: str
@@ -35,12 +35,12 @@
 
 
 class TransportSettings(NamedTuple):
-    """Settings that concern connections alone, and not the decisions.
+    """Settings that the network code uses, and the decisions do not.
 
     Attributes:
-        connect_timeout_ms: Time within which a connection to an endpoint must be established.
+        connect_timeout_ms: Timeout for connecting to an endpoint.
         idle_timeout_ms: Time after which endpoints close an idle connection.
-        max_poll_interval_ms: A gateway must ask discovery at least this often where it is polled.
+        max_poll_interval_ms: Longest allowed interval between two polls of discovery, if it is polled.
     """
 
     connect_timeout_ms: float
@@ -49,11 +49,11 @@
 
 
 class _UnknownValueError(ValueError):
-    """A text that is not in the table of words of its key."""
+    """A text is not one of the values of its enum."""
 
 
 def parse_number(text: str) -> float:
-    """Convert a text to a finite number; `-` stands for an absent value and gives 0.
+    """Convert a text to a finite number; `-`, which stands for an absent value, gives 0.
 
     Raises:
         ValueError: The text is not a finite number.
@@ -170,7 +170,7 @@
     SettingKey("rules.must_ask_in_ms", "max_poll_interval_ms", parse_number, 10000.0),
 )
 
-# Model group: key of the group, keys of its entries.
+# Maps a list in `Settings` to the key of the list and the keys of its entries.
 _GROUPS = {
     "classes": (CLASSES_KEY, CLASS_KEYS),
     "plans": (PLANS_KEY, PLAN_KEYS),
@@ -179,9 +179,10 @@
 
 
 def flatten_settings(settings: Mapping[str, object]) -> dict[str, str]:
-    """Convert a nested settings object to paths and the texts of their values.
+    """Convert a nested settings object to a mapping of paths to texts.
 
-    A list of objects gives `path.count`, `path.0.key`, `path.1.key`..., another list one text with commas.
+    A list of objects becomes `path.count`, `path.0.key`, `path.1.key`... The values of another list are
+    joined with commas. Keys whose value is null are left out.
     """
     return dict(_flatten_value("", settings))
 
@@ -208,14 +209,14 @@
 
 
 def decode_settings(values_by_path: Mapping[str, str]) -> Settings:
-    """Convert paths and texts to `Settings`, without checking that they make sense together.
+    """Convert texts by path to `Settings`. Ranges are not checked; `check_settings` does that.
 
     Args:
-        values_by_path: Texts of values by path; unknown paths are ignored.
+        values_by_path: Texts of the values by path; unknown paths are ignored.
 
     Raises:
-        MalformedSettingError: A value does not have the form of its type.
-        InvalidSettingError: A word is not one of those that its key allows.
+        MalformedSettingError: A value cannot be parsed as its type.
+        InvalidSettingError: A value is not one of those of its enum.
     """
     return Settings(
         classes=_decode_group(values_by_path, "classes", RequestClass),
@@ -225,7 +226,10 @@
 
 
 def decode_transport_settings(values_by_path: Mapping[str, str]) -> TransportSettings:
-    """Convert paths and texts to `TransportSettings`.
+    """Convert texts by path to `TransportSettings`.
+
+    Args:
+        values_by_path: Texts of the values by path; unknown paths are ignored.
 
     Raises:
         MalformedSettingError: A value is not a number.
@@ -240,10 +244,10 @@
 
 
 def check_settings(settings: Settings) -> None:
-    """Check that settings make sense, and name what does not by its key.
+    """Check the ranges of all settings.
 
     Raises:
-        InvalidSettingError: A value is out of its range.
+        InvalidSettingError: A value is out of range; the error has the key that operators write.
     """
     try:
         settings.check()
@@ -253,10 +257,11 @@
 
 
 def setting_key_for_field(field: str) -> str:
-    """Convert the path of a model field to the key that sets it.
+    """Return the key that sets a field of `Settings`; the field itself if there is no such key.
 
     Args:
-        field: Such as `classes[read].latency_objective_ms, deadline_ms`, `classes` or `clock_tick_ms`.
+        field: Path of one or more fields, such as `clock_tick_ms`, `classes` or
+            `classes[read].latency_objective_ms, deadline_ms`.
     """
     match = _FIELD_PATH.fullmatch(field)
     if match is None:
--- a/api_gateway/shutdown.py
+++ b/api_gateway/shutdown.py
@@ -1,16 +1,17 @@
-"""Graceful shutdown: what happens after SIGTERM, in this order.
+"""Graceful shutdown, which SIGTERM or SIGINT starts.
 
-1. At the signal, the gateway drains: it reports that it is not ready, and closes each connection with the
-   response to its request. New connections are still accepted, since clients learn of the drain late.
-2. After ACCEPT_AFTER_SIGNAL_S, it stops accepting once the backlog is empty, and closes idle connections.
-   Both are checked every CHECK_INTERVAL_S. When no connection is left, every request has its response, and
-   the shutdown is finished.
-3. If requests are still in flight after the longest deadline of a request class
-   (MAX_AWAITED_DEADLINE_S at most) and DRAIN_MARGIN_S, they are answered as failed. A killed process could
-   not answer them.
-4. After FLUSH_DELAY_S more, in which these responses leave, the shutdown is finished in any case.
+1. At the signal, the gateway starts to drain: its readiness check fails, and each connection is closed after
+   the response to its request. New connections are still accepted, since clients notice the drain with a
+   delay.
+2. After ACCEPT_AFTER_SIGNAL_S, the gateway stops accepting as soon as its backlog is empty, and closes idle
+   connections. It repeats both every CHECK_INTERVAL_S. Once all connections are closed, every request has
+   its response, and the shutdown is finished.
+3. Requests that are open when the drain timeout expires get a 504 response, since a killed process could not
+   send any. The drain timeout is the longest deadline of a request class, limited to
+   MAX_AWAITED_DEADLINE_S, plus DRAIN_MARGIN_S.
+4. The shutdown is finished FLUSH_DELAY_S later in any case. Within this time, the responses are sent.
 
-The process is sent SIGKILL 0.7 s after the longest deadline (MAX_AWAITED_DEADLINE_S at most) or later.
+The process gets SIGKILL 0.7 s after the longest deadline, limited to MAX_AWAITED_DEADLINE_S, or later.
 """
 
 from __future__ import annotations
@@ -21,7 +22,8 @@
 from api_gateway.network.dispatcher import Dispatcher
 from api_gateway.network.downstream.listener import Listener
 
-ACCEPT_AFTER_SIGNAL_S = 0.5  # clients may connect for 0.4 s after the signal
+# Clients may still open connections up to 0.4 s after the signal.
+ACCEPT_AFTER_SIGNAL_S = 0.5
 CHECK_INTERVAL_S = 0.02
 MAX_AWAITED_DEADLINE_S = 3.0
 DRAIN_MARGIN_S = 0.4
@@ -29,7 +31,7 @@
 
 
 class GracefulShutdown:
-    """Accepts requests a little longer, finishes those in flight, and reports when that is done.
+    """Drains the gateway after a signal, and reports when the process may exit.
 
     Attributes:
         finished: Set when the process may exit.
@@ -43,7 +45,7 @@
         self.finished = asyncio.Event()
 
     def start(self) -> None:
-        """Start the shutdown, unless it has started already."""
+        """Start the shutdown; does nothing if it has started already."""
         if self._dispatcher.is_draining:
             return
         lifecycle_log.info("draining timeout_s=%.1f", self._drain_timeout_s)
--- a/api_gateway/simulator/__init__.py
+++ b/api_gateway/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Gateways behind the simulator's wire on standard input and output."""
+"""Runs gateways for a simulator, with events on standard input and actions on standard output."""
--- a/api_gateway/simulator/__main__.py
+++ b/api_gateway/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m api_gateway.simulator`: serve the simulator's wire on standard input and output."""
+"""Entry point of `python -m api_gateway.simulator`: runs gateways for a simulator on standard input."""
 
 import sys
 
--- a/api_gateway/simulator/action_codec.py
+++ b/api_gateway/simulator/action_codec.py
@@ -1,4 +1,4 @@
-"""Actions of a gateway as lines of the simulator's wire."""
+"""Encoding of gateway actions as output lines for the simulator."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 
 
 def encode_action(instance: str, action: Action) -> str:
-    """Convert an action of an instance to a line.
+    """Return the line for an action of an instance.
 
     Raises:
         TypeError: The object is not an action.
@@ -75,5 +75,5 @@
 
 
 def encode_failure(instance: str, error_name: str, text: str) -> str:
-    """Return the line that reports a failure of one instance."""
+    """Return the line that reports an error in one instance."""
     return f"BROKEN {instance} {error_name}: {text}"
--- a/api_gateway/simulator/adapter.py
+++ b/api_gateway/simulator/adapter.py
@@ -1,7 +1,8 @@
-"""Runs gateways behind the simulator's wire on standard input and output.
+"""Runs gateway instances for a simulator that is connected to standard input and output.
 
-The simulator sends batches of events, each batch at one moment of its clock, and receives the actions of all
-instances and `OK` after each batch.
+The simulator sends batches of events, all events of a batch with the same time. The response to a batch has
+one line for each action of an instance, a `BROKEN` line for each event whose handling failed, and the line
+`OK`.
 """
 
 from __future__ import annotations
@@ -27,10 +28,10 @@
 
 
 class SimulatorAdapter:
-    """Reads batches of events, passes each event to its instance, and writes the actions.
+    """Reads batches of events, passes each event to its instance, and writes the resulting actions.
 
     Attributes:
-        line_number: Number of the line that was read last, from 1.
+        line_number: Number of the last line read; the first line is 1.
     """
 
     def __init__(self, lines: Iterable[str], output: TextIO) -> None:
@@ -41,7 +42,7 @@
         self._catalogs: dict[int, tuple[Endpoint, ...]] = {}
 
     def run(self) -> None:
-        """Answer batches until the input ends between two of them.
+        """Respond to batches until the end of the input.
 
         Raises:
             MalformedLineError: A line does not follow the format, or the input ends within a batch.
@@ -59,14 +60,14 @@
             return None
         self.line_number += 1
         if not line.endswith("\n"):
-            raise MalformedLineError("truncated line")
+            raise MalformedLineError("the line does not end with a newline; the input is truncated")
         return line.rstrip("\r\n").split(" ")
 
     def _handle_batch(self, now_ms: float) -> list[str]:
         response_lines: list[str] = []
         while (parts := self._read_line()) != BATCH_END:
             if parts is None:
-                raise MalformedLineError("input ended inside a batch")
+                raise MalformedLineError("the input ends before the END of a batch")
             if parts[0] == CATALOG:
                 self._read_catalog(codec.decode_catalog_header(parts))
             else:
@@ -78,7 +79,7 @@
         for _ in range(header.entry_count):
             parts = self._read_line()
             if parts is None:
-                raise MalformedLineError("input ended inside a list")
+                raise MalformedLineError("the input ends before the last entry of a catalog")
             endpoints.append(codec.decode_endpoint(parts))
         self._catalogs[header.number] = tuple(endpoints)
 
@@ -92,7 +93,7 @@
         instance = parts[1]
         try:
             return self._dispatch(now_ms, instance, message)
-        except Exception as error:  # any failure of the decisions concerns this instance alone
+        except Exception as error:  # an error in the decisions of one instance must not stop the others
             text = " ".join(str(error).split())
             return [encode_failure(instance, type(error).__name__, text)]
 
@@ -100,7 +101,7 @@
         if update.catalog is None:
             return EndpointUpdate(update.kind)
         if update.catalog not in self._catalogs:
-            raise MalformedLineError(f"no list number {update.catalog}")
+            raise MalformedLineError(f"there is no catalog with the number {update.catalog}")
         return EndpointUpdate(update.kind, self._catalogs[update.catalog])
 
     def _dispatch(
@@ -119,11 +120,11 @@
 
 
 def main() -> int:
-    """Serve standard input until it ends.
+    """Respond to the batches on standard input until it ends.
 
     Returns:
-        The exit status: 0 at the end of the input, 2 after a malformed line (with one line on standard
-        error), 1 if standard output was closed.
+        The exit status: 0 at the end of the input; 1 if standard output was closed; 2, with one line on
+        standard error, after a malformed line.
     """
     sys.stdin.reconfigure(encoding="utf-8", newline="\n")
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")
--- a/api_gateway/simulator/codec.py
+++ b/api_gateway/simulator/codec.py
@@ -1,7 +1,7 @@
-"""Lines of the simulator's wire as messages: events of a gateway, its start and end, and endpoint lists.
+"""Decoding of the simulator's input lines: events, the start and end of gateways, and endpoint lists.
 
-A line consists of parts separated by single spaces: the name of the message, the instance that it concerns,
-and its values. `-` stands for an absent value.
+A line consists of parts separated by single spaces: the name of the message, the instance (the gateway) that
+it is for, and its values. `-` stands for an absent value.
 """
 
 from __future__ import annotations
@@ -36,15 +36,15 @@
     decode_number,
 )
 
-RETRY_FLAG = 2  # bit of a request's flags
+RETRY_FLAG = 2  # bit of the flags of a request that is set if the client has sent the request before
 
 
 class OpenInstance(NamedTuple):
-    """A new instance of the gateway starts.
+    """Start of a new gateway instance, or restart of an existing one.
 
     Attributes:
-        seed: Seed of its random draws.
-        settings: Its settings.
+        seed: Seed of the random draws of the instance.
+        settings: Settings of the instance.
     """
 
     seed: int
@@ -52,15 +52,15 @@
 
 
 class CloseInstance:
-    """An instance was killed."""
+    """End of a gateway instance, without a shutdown."""
 
 
 class CatalogUpdate(NamedTuple):
-    """An update of the endpoint list that refers to a catalog.
+    """An update of the endpoint list, with its endpoints in a catalog that was sent before.
 
     Attributes:
-        kind: What the update holds.
-        catalog: Number of the catalog with the endpoints; None if the call to discovery failed.
+        kind: Kind of the update.
+        catalog: Number of the catalog; None if the call to discovery failed.
     """
 
     kind: UpdateKind
@@ -68,11 +68,11 @@
 
 
 class CatalogHeader(NamedTuple):
-    """The line before the entries of a catalog.
+    """The line that precedes the entries of a catalog.
 
     Attributes:
         number: Number by which updates refer to the catalog.
-        entry_count: Count of the lines that follow, one for each endpoint.
+        entry_count: Number of entries, each on a line of its own.
     """
 
     number: int
@@ -82,7 +82,7 @@
 Message = Event | OpenInstance | CloseInstance | CatalogUpdate
 
 
-# --- Messages with an instance -----------------------------------------------------------------------------
+# --- Messages for one instance -----------------------------------------------------------------------------
 
 
 def _decode_setting_pairs(pairs: list[str]) -> Settings:
@@ -90,7 +90,7 @@
     for pair in pairs:
         key, equals, text = pair.partition("=")
         if not equals:
-            raise MalformedLineError(f"bad setting {pair!r}")
+            raise MalformedLineError(f"setting {pair!r} is not of the form PATH=VALUE")
         values_by_path[key] = text
     try:
         return decode_settings(values_by_path)
@@ -177,7 +177,7 @@
     try:
         return GossipReceived(decode_integer(sender), bytes.fromhex("" if payload == "-" else payload))
     except ValueError:
-        raise MalformedLineError(f"bad bytes {payload!r}") from None
+        raise MalformedLineError(f"gossip payload {payload!r} is not hexadecimal") from None
 
 
 def _decode_catalog_update(values: list[str]) -> CatalogUpdate:
@@ -189,7 +189,7 @@
 
 class _MessageDecoder(NamedTuple):
     decode: Callable[[list[str]], Message]
-    value_count: int | None  # None: any number above 0
+    value_count: int | None  # None if any number of values above 0 is allowed
 
 
 MESSAGE_DECODERS: dict[str, _MessageDecoder] = {
@@ -208,14 +208,14 @@
 
 
 def decode_message(parts: list[str]) -> Message:
-    """Convert the parts of a line that concerns one instance.
+    """Convert the parts of a line that is for one instance.
 
     Args:
         parts: Name of the message, the instance, and the values.
 
     Raises:
         MalformedLineError: The line does not follow the format.
-        InvalidSettingError: A setting of a new instance has a word that is not allowed.
+        InvalidSettingError: A setting of a new instance is not one of the values of its enum.
     """
     name, values = parts[0], parts[2:]
     decoder = MESSAGE_DECODERS.get(name)
@@ -223,32 +223,38 @@
         raise MalformedLineError(f"unknown message {name!r}")
     is_complete = bool(values) if decoder.value_count is None else len(values) == decoder.value_count
     if len(parts) < 2 or not is_complete:
-        raise MalformedLineError(f"{name}: wrong number of values")
+        raise MalformedLineError(
+            f"{name}: expected an instance and "
+            f"{'at least 1' if decoder.value_count is None else decoder.value_count} values, "
+            f"got {len(parts) - 1} parts in total"
+        )
     return decoder.decode(values)
 
 
-# --- Lines without an instance -----------------------------------------------------------------------------
+# --- Lines for all instances -------------------------------------------------------------------------------
 
 
 def decode_batch_header(parts: list[str]) -> float:
-    """Convert the first line of a batch to the clock in milliseconds.
+    """Return the time in milliseconds that the first line of a batch gives.
 
     Raises:
         MalformedLineError: The line is not the first one of a batch.
     """
     if parts[0] != "BATCH" or len(parts) != 2:
-        raise MalformedLineError("expected BATCH and the clock")
+        raise MalformedLineError(f"expected BATCH and a time, got {' '.join(parts)!r}")
     return decode_number(parts[1])
 
 
 def decode_catalog_header(parts: list[str]) -> CatalogHeader:
-    """Convert the line before the entries of a catalog.
+    """Convert the line that precedes the entries of a catalog.
 
     Raises:
         MalformedLineError: The line does not follow the format.
     """
     if len(parts) != 3:
-        raise MalformedLineError("CATALOG: wrong number of values")
+        raise MalformedLineError(
+            f"CATALOG: expected its number and the number of its entries, got {len(parts) - 1} values"
+        )
     return CatalogHeader(number=decode_integer(parts[1]), entry_count=decode_integer(parts[2]))
 
 
@@ -259,10 +265,10 @@
         MalformedLineError: The line does not follow the format.
     """
     if len(parts) != 8 or parts[0] != "M":
-        raise MalformedLineError("a list entry needs M and 7 values")
+        raise MalformedLineError(f"catalog entry: expected M and 7 values, got {' '.join(parts)!r}")
     _, name, zone, _, failure_domain, status, weight, started_at = parts
     if status not in ENDPOINT_STATUSES:
-        raise MalformedLineError(f"unknown status {status!r}")
+        raise MalformedLineError(f"endpoint status {status!r} is not one of {', '.join(ENDPOINT_STATUSES)}")
     return Endpoint(
         name=name,
         zone=zone,
--- a/api_gateway/simulator/values.py
+++ b/api_gateway/simulator/values.py
@@ -1,4 +1,4 @@
-"""Values of the simulator's wire: numbers, flags, words and load reports."""
+"""Decoding of values in the simulator's input: numbers, flags, enum values and load reports."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 def decode_number(text: str) -> float:
-    """Convert a text to a finite number; `-` gives 0.
+    """Convert a text to a finite number; `-`, which stands for an absent value, gives 0.
 
     Raises:
         MalformedLineError: The text is not a finite number.
@@ -58,7 +58,7 @@
 
 
 def decode_integer(text: str) -> int:
-    """Convert a text to a whole number; `-` gives 0.
+    """Convert a text to a whole number; `-`, which stands for an absent value, gives 0.
 
     Raises:
         MalformedLineError: The text is not a whole number.
@@ -68,7 +68,7 @@
     try:
         return int(text)
     except ValueError:
-        raise MalformedLineError(f"bad whole number {text!r}") from None
+        raise MalformedLineError(f"{text!r} is not a whole number") from None
 
 
 def decode_flag(text: str) -> bool:
@@ -78,23 +78,27 @@
         MalformedLineError: The text is none of these.
     """
     if text not in ("0", "1", "-"):
-        raise MalformedLineError(f"bad truth value {text!r}")
+        raise MalformedLineError(f"flag {text!r} is not one of 0, 1 and -")
     return text == "1"
 
 
 def decode_enum(members: Mapping[str, Value], text: str) -> Value:
-    """Return the value that a word stands for.
+    """Return the enum member that a text stands for.
+
+    Args:
+        members: Enum members by text.
+        text: The text.
 
     Raises:
-        MalformedLineError: The word is not in the table.
+        MalformedLineError: No member has this text.
     """
     if text not in members:
-        raise MalformedLineError(f"unknown word {text!r}")
+        raise MalformedLineError(f"{text!r} is not one of {', '.join(members)}")
     return members[text]
 
 
 def decode_load_report(text: str) -> dict[str, float]:
-    """Convert `name:value` pairs, separated by commas, to values by name.
+    """Convert `name:value` pairs, separated by commas, to numbers by name; `-` gives none.
 
     Raises:
         MalformedLineError: A pair does not have this form.
@@ -105,6 +109,6 @@
     for pair in text.split(","):
         name, colon, value = pair.partition(":")
         if not colon:
-            raise MalformedLineError(f"bad load report {text!r}")
+            raise MalformedLineError(f"load report {text!r} is not of the form NAME:VALUE,NAME:VALUE...")
         values[name] = decode_number(value)
     return values
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,1 +1,1 @@
-"""Shared fixtures; what tests import lies in `support`."""
+"""Configuration of pytest. Helpers that tests import are in the package `support`."""
--- a/tests/support/program.py
+++ b/tests/support/program.py
@@ -1,4 +1,4 @@
-"""The gateway as a process of its own, between scripted endpoints, a counter and discovery."""
+"""The gateway as a separate process, with scripted endpoints, a counter and discovery."""
 
 from __future__ import annotations
 
@@ -30,17 +30,17 @@
 
 
 class RunningProgram:
-    """The real program and the services that it talks to; an asynchronous context manager.
+    """The real program and the services that it uses; an asynchronous context manager.
 
     Attributes:
-        endpoints: The upstream endpoints, one for each responder; discovery names them s-0, s-1...
-        counter_values: Totals of the counter by name.
+        endpoints: The endpoints, one for each responder; discovery lists them as s-0, s-1...
+        counter_values: Values of the counter service by name of the count.
         counter: The counter service.
         discovery: The discovery service.
-        process: The program.
-        port: The port on which it listens.
-        log: Its log lines so far.
-        cached_list: The endpoint list in its configuration file, used at its next start.
+        process: The process of the program.
+        port: The port on which the program listens.
+        log: Log lines of the program so far, from the time at which it listens.
+        cached_list: The endpoint list that is written to the configuration file at the next start.
     """
 
     def __init__(
@@ -51,13 +51,13 @@
         fleet_size: int = 1,
         **limits: int,
     ) -> None:
-        """Describe the program; it starts with the context.
+        """Prepare the program; it is started when the context is entered.
 
         Args:
-            directory: Where its configuration file is written.
-            responders: One for each endpoint.
-            discovery_by_polling: Whether discovery sends the endpoint list on request only.
-            fleet_size: Number of gateways, of which the program is the first.
+            directory: Directory for the configuration file.
+            responders: Responders of the endpoints, one for each.
+            discovery_by_polling: Whether the program polls discovery.
+            fleet_size: Number of gateways in the fleet; the program has index 0.
             limits: Entries of the configuration's `limits`.
         """
         self.directory = directory
@@ -87,7 +87,7 @@
         return FakeServer(lambda request: counter_response(request, self.counter_values))
 
     def write_configuration(self) -> Path:
-        """Write the file that the program reads at its start and on SIGHUP; return its path."""
+        """Write the file that the program reads at its start and on SIGHUP; return the path of the file."""
         configuration = {
             "name": "n0",
             "listen": f"{LOOPBACK}:{self.port}",
@@ -120,7 +120,7 @@
         return path
 
     async def reload(self, instances: list[dict]) -> None:
-        """Send SIGHUP with a new discovery service and a new counter in the configuration file."""
+        """Write a configuration with a new discovery and a new counter, and send SIGHUP."""
         self.discovery = FakeDiscovery(instances)
         self.counter = self._new_counter()
         await self.discovery.server.start()
@@ -129,7 +129,7 @@
         self.process.send_signal(signal.SIGHUP)
 
     async def launch(self) -> None:
-        """Start the program, on the same port if it ran before, and wait until it reports to be ready."""
+        """Start the program, on the same port as before if there is one, and wait until it is ready."""
         path = self.write_configuration()
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -145,7 +145,7 @@
         )
         start_log: list[str] = []
         while "listening on" not in (line := (await self.process.stderr.readline()).decode()):
-            assert line, f"the program ended at its start: {start_log}"
+            assert line, f"the program exited during its start; its log: {start_log}"
             start_log.append(line)
         self.port = int(line.rsplit(":", 1)[1])
         if "sockets" in self.limits:
@@ -163,7 +163,7 @@
         return await asyncio.open_connection(LOOPBACK, self.port)
 
     async def request(self, data: bytes) -> ReceivedMessage:
-        """Send a request on a connection of its own, and return the response."""
+        """Send a request on a new connection, and return the response."""
         reader, writer = await self.connect()
         writer.write(data)
         try:
@@ -172,7 +172,7 @@
             writer.close()
 
     async def request_status(self, data: bytes) -> int:
-        """Send a request on a connection of its own, and return the status of the response."""
+        """Send a request on a new connection, and return the status of the response."""
         response = await self.request(data)
         return int(response.start_line.split()[1])
 
@@ -186,18 +186,22 @@
 
 
 def run_scenario(scenario: Callable[[], Coroutine], limit_s: float = 30.0) -> None:
-    """Run a scenario to its end; it fails once the time limit is over.
+    """Run a coroutine function.
 
     Args:
-        scenario: The coroutine function to run.
+        scenario: The coroutine function.
         limit_s: Time limit in seconds.
+
+    Raises:
+        TimeoutError: The scenario is not finished within the time limit.
     """
 
     async def bounded() -> None:
         async with asyncio.timeout(limit_s):
             await scenario()
 
-    uvloop.run(bounded())  # the loop of the program: it fires timers before it reads sockets
+    # The program runs on uvloop, too, which calls expired timers before it reads sockets.
+    uvloop.run(bounded())
 
 
 def async_test(limit_s: float = 30.0) -> Callable[[Callable[..., Coroutine]], Callable[..., None]]:
--- a/tests/test_acceptance_client_disconnect.py
+++ b/tests/test_acceptance_client_disconnect.py
@@ -1,7 +1,8 @@
-"""Nothing is started for a client that has closed its connection, even if its end is still unread.
+"""No attempt is started for a client that has disconnected, even if the event loop has not reported that yet.
 
-The real listener and dispatcher with scripted decisions, an endpoint, and clients on real connections. What a
-test does between two awaits gives the event loop no turn: a client's end is in the kernel, and unread.
+The tests run the real listener and dispatcher with scripted decisions, an endpoint, and clients on real
+connections. The event loop does not run between two awaits of a test, so when a client closes its connection,
+the end of the stream stays unread in the kernel.
 """
 
 from __future__ import annotations
@@ -33,13 +34,13 @@
         self.address = self.listener.start((LOOPBACK, 0))
 
     def connect(self, data: bytes) -> socket.socket:
-        """Connect a client and send its requests."""
+        """Connect a client, and send `data`."""
         client = socket.create_connection(self.address)
         client.sendall(data)
         return client
 
     async def request_received(self) -> str:
-        """Wait for a request; return the id of the last one."""
+        """Wait until a request has been received; return the id of the last one."""
         while True:
             received = [event for event in self.decisions.events if isinstance(event, RequestReceived)]
             if received:
@@ -47,7 +48,7 @@
             await asyncio.sleep(0)
 
     async def assert_requests_at_endpoint(self, count: int) -> None:
-        """Let the event loop run on, and check that no more requests reach the endpoint."""
+        """Run the event loop for a while, and check that the endpoint has received `count` requests."""
         for _ in range(50):
             await asyncio.sleep(0.001)
         assert len(self.endpoint.received) == count, [
@@ -66,7 +67,10 @@
 def test_no_retry_for_a_client_that_has_closed(
     monkeypatch: pytest.MonkeyPatch, response: bytes | None, timeout_ms: float, result: AttemptResult
 ) -> None:
-    """The result of the attempt and the client's end are unread together; the result is handled first."""
+    """The result of the attempt is handled while the client's disconnect is unread.
+
+    A retry that starts then would run a request whose client is gone.
+    """
 
     async def scenario() -> None:
         endpoint = FakeServer(lambda request: response)
@@ -100,7 +104,7 @@
 def test_no_attempt_for_a_client_that_has_closed(
     monkeypatch: pytest.MonkeyPatch, first_endpoint: str | None, unread: bytes
 ) -> None:
-    """The decisions start an attempt while the client's end is unread."""
+    """The decisions start an attempt while the client's disconnect is unread."""
 
     async def scenario() -> None:
         endpoint = FakeServer(lambda request: None)
@@ -125,7 +129,7 @@
 
 
 def test_pipelined_request_of_a_client_that_has_closed_is_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The first response and the client's end cross: the second request starts nothing."""
+    """The client disconnects just before the first response; its second request must not be sent."""
 
     async def scenario() -> None:
         endpoint = FakeServer(lambda request: None)
@@ -135,7 +139,7 @@
         request_id = await frontend.request_received()
         client.close()
         decisions.next_actions[RequestReceived] = [StartAttempt("r2", ENDPOINT_NAME, 5000)]
-        decisions.next_actions[TimerFired] = [RejectRequest(request_id)]  # the second one follows at once
+        decisions.next_actions[TimerFired] = [RejectRequest(request_id)]  # the second request is served next
         dispatcher._post_event(TimerFired("x"))
         await frontend.assert_requests_at_endpoint(0)
         assert AttemptResult.OK not in decisions.attempt_results()
@@ -149,7 +153,7 @@
 def test_pending_connect_is_withdrawn_when_its_client_closes(
     monkeypatch: pytest.MonkeyPatch, connected: bool
 ) -> None:
-    """The client's end is read during the connect, or is unread when the connect has succeeded."""
+    """The disconnect is read before the connection is established, or is unread when it is established."""
 
     async def scenario() -> None:
         endpoint = FakeServer(lambda request: None)
@@ -161,7 +165,7 @@
         await frontend.request_received()
         await endpoint.wait_until(lambda fake: fake.connections_opened == 1)
         if connected:
-            connects.release.set()  # reported in the next turn of the event loop
+            connects.release.set()  # the connect is reported in the next iteration of the event loop
         client.close()
         await endpoint.wait_until(lambda fake: fake.connections_closed == 1)
         assert decisions.attempt_results() == [AttemptResult.WITHDRAWN]
--- a/tests/test_acceptance_descriptors.py
+++ b/tests/test_acceptance_descriptors.py
@@ -1,4 +1,4 @@
-"""Idle clients may hold their share of the file descriptors; all else finds one."""
+"""Idle clients cannot use up the file descriptors that the gateway needs for its other connections."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 async def hold_idle_connection(program: RunningProgram) -> None:
-    """Hold an idle connection for good; connect again when it is closed."""
+    """Hold an idle connection until the task is cancelled; connect again when it is closed."""
     while True:
         with contextlib.suppress(ConnectionError):
             reader, writer = await program.connect()
@@ -36,7 +36,7 @@
 
 
 async def send_until_served(program: RunningProgram, first_number: int) -> None:
-    """Send a request, again on a new connection if its connection was closed unread."""
+    """Send a request until it is served, each time on a new connection and with a new id."""
     number = first_number
     while True:
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
@@ -46,7 +46,7 @@
 
 
 async def wait_for_descriptors(program: RunningProgram, count: int) -> None:
-    """Wait until the program holds a number of descriptors."""
+    """Wait until the program holds at least `count` file descriptors."""
     while len(os.listdir(f"/proc/{program.process.pid}/fd")) < count:
         await asyncio.sleep(0.01)
 
@@ -55,7 +55,10 @@
 def test_idle_clients_leave_descriptors_for_discovery_counter_and_endpoints(
     tmp_path: Path, sockets: int
 ) -> None:
-    """Discovery and the counter come back while idle clients hold all that clients may hold."""
+    """Discovery and the counter restart while idle clients hold all connections that clients may hold.
+
+    If no descriptor were left, the gateway could not connect to them again.
+    """
 
     async def scenario() -> None:
         async with RunningProgram(tmp_path, serve, sockets=sockets) as program:
@@ -83,17 +86,17 @@
 
 
 def test_descriptors_of_all_kinds_together_stay_within_the_limit(tmp_path: Path) -> None:
-    """What is held beside clients and endpoints is measured on the program.
+    """The descriptors for clients, endpoints and all other uses must not exceed the limit.
 
-    To it come the connections to counter and discovery (4 + 1), which a reload holds twice, and one client
-    that is being accepted.
+    Those for other uses are counted in the idle program. Added to them are the connections to the counter (4)
+    and discovery (1), which exist twice during a reload, and one client connection that is being accepted.
     """
 
     async def scenario() -> None:
         async with RunningProgram(tmp_path, serve, sockets=MIN_DESCRIPTORS) as program:
             await program.counter.wait_until(lambda fake: fake.connections_opened == 4)
             own_descriptors = MIN_DESCRIPTORS
-            for _ in range(30):  # until the connection of the readiness check is gone
+            for _ in range(30):  # the readiness check's own connection is closed after a while
                 own_descriptors = min(own_descriptors, len(os.listdir(f"/proc/{program.process.pid}/fd")))
                 await asyncio.sleep(0.01)
             for sockets in (MIN_DESCRIPTORS, 200, 256, 576, 1024):
--- a/tests/test_acceptance_idempotency_window.py
+++ b/tests/test_acceptance_idempotency_window.py
@@ -1,4 +1,8 @@
-"""Attempts are written within their idempotency window, and only while somebody waits for them."""
+"""An attempt is written only within its idempotency window, and only while its request is open.
+
+An endpoint forgets an idempotency key at the end of the window. An attempt that it receives later could run
+the request a second time.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +38,7 @@
 
 
 def test_retry_carries_the_remaining_window() -> None:
-    """The window runs from the first attempt that may have run; one that never ran does not start it."""
+    """The window starts with the first attempt that may have run, not with one that certainly has not."""
     driver = GatewayDriver()
     request_id, actions = driver.send_request("put")
     (first,) = actions_of_type(actions, StartAttempt)
@@ -52,7 +56,7 @@
 
 
 def test_nothing_is_written_after_a_connect_that_outlasts_the_window(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The write checks the window itself; the timer that ends a pending connect is off."""
+    """The write checks the window itself: the test disables the timer that ends a pending connect."""
 
     async def scenario() -> None:
         fake = FakeServer(serve)
@@ -123,7 +127,7 @@
 async def submit_with_unsent_bytes(
     dispatcher: Dispatcher, decisions: ScriptedDecisions, *, write_timeout_ms: float
 ) -> str:
-    """Submit a request that stays partly unsent, as its endpoint reads nothing; return its id."""
+    """Submit a request whose last bytes stay unsent, since its endpoint reads nothing; return its id."""
     decisions.next_actions[RequestReceived] = [StartAttempt("r1", ENDPOINT_NAME, 5000, write_timeout_ms)]
     request_id = dispatcher.submit(RecordingClient(), inbound_request(body=b"x" * 16_000_000))
     while not any(connection.has_unsent_data for connection in dispatcher._pool._connections):
@@ -135,7 +139,10 @@
 def test_attempt_with_unsent_bytes_is_withdrawn_when_it_is_no_longer_needed(
     monkeypatch: pytest.MonkeyPatch, reason: str
 ) -> None:
-    """Its last byte would make the endpoint run it long after; no cancel action is needed."""
+    """If the last bytes were sent later, the endpoint would run a request that nobody waits for.
+
+    The network code withdraws the attempt itself, without a cancel action of the decisions.
+    """
 
     async def scenario() -> None:
         fake = PausedServer(lambda request: None)
@@ -151,11 +158,11 @@
         while not decisions.attempt_results():
             await asyncio.sleep(0)
         assert decisions.attempt_results() == [AttemptResult.WITHDRAWN]
-        while dispatcher._pool._connections:  # closed, with what was unsent
+        while dispatcher._pool._connections:  # the connection is closed, and its unsent bytes are dropped
             await asyncio.sleep(0)
         fake.stop()
 
-    run_scenario(scenario, 3)  # less than the deadline, which would end it, too
+    run_scenario(scenario, 3)  # less than the deadline, which would end the attempt, too
 
 
 def test_deadline_sent_to_an_endpoint_is_the_time_remaining_at_the_write(
@@ -165,7 +172,7 @@
         fake = FakeServer(serve)
         request = await submit_with_blocked_connect(monkeypatch, fake, action_on_end=None, timeout_ms=2000)
         (attempt,) = request.dispatcher._pool._pending_connects
-        attempt.deadline -= 1.5  # as after a slow connect
+        attempt.deadline -= 1.5  # simulates a connect that took 1.5 s
         attempt.started_at -= 1.5
         request.connects.release.set()
         assert await request.client.statuses.get() == 200
@@ -176,7 +183,10 @@
 
 
 def test_connect_to_an_earlier_process_of_an_endpoint_is_withdrawn(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Same id and address, a later start: its budget is that of a cold endpoint."""
+    """An endpoint with the same id and address but a later start time is another process.
+
+    It is in slow start, so the attempt, which was decided for the earlier process, may be too much for it.
+    """
 
     async def scenario() -> None:
         fake = FakeServer(serve)
--- a/tests/test_acceptance_restart.py
+++ b/tests/test_acceptance_restart.py
@@ -1,4 +1,4 @@
-"""A restarted process is ready within 10 s in nine of ten cases, however discovery responds."""
+"""A restarted process is ready within 10 s in nine of ten cases, whatever discovery responds."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 from support.http_fakes import request_bytes, response_bytes
 from support.program import RunningProgram, run_scenario
 
-MAX_STARTUP_S = 5.0  # half of the 10 s: a machine that starts many at once takes longer for each
+# Half of the 10 s, since each start takes longer on a machine that starts many processes at the same time.
+MAX_STARTUP_S = 5.0
 RESPONSES = {"silent": None, "refused": None, "rejected": response_bytes(b"", 503), "reset": b""}
 
 
@@ -18,7 +19,10 @@
 def test_restarted_process_is_ready_soon_without_discovery(
     tmp_path: Path, polled: bool, discovery: str
 ) -> None:
-    """Timed from the exec on, with the endpoint list of the configuration."""
+    """Without discovery, the process uses the endpoint list of its configuration and must not wait longer.
+
+    The time is measured from the start of the process until its readiness check succeeds.
+    """
 
     async def scenario() -> None:
         async with RunningProgram(
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration: its defaults, its errors, and the precedence of the environment."""
+"""The configuration: defaults, errors, and precedence of environment variables."""
 
 from __future__ import annotations
 
--- a/tests/test_deploy_file.py
+++ b/tests/test_deploy_file.py
@@ -1,4 +1,4 @@
-"""The deploy file has the agreed contents."""
+"""The deploy file lists every module of the decisions, and the command that starts the simulator adapter."""
 
 from __future__ import annotations
 
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -1,7 +1,7 @@
-"""The listener and its connections where a close of the gateway crosses a request of a client.
+"""The listener and its connections when the gateway closes a connection while its client sends a request.
 
-What a test does between two awaits gives the event loop no turn: data that a client sends meanwhile is in the
-kernel and unread.
+The event loop does not run between two awaits of a test, so data that a client sends in between stays unread
+in the kernel.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class FakeDispatcher:
-    """Answers each request at once.
+    """A dispatcher that responds to each request immediately.
 
     Attributes:
         request_ids: X-Request-Id of each request, in the order of arrival.
@@ -47,7 +47,7 @@
 
 
 class RunningListener:
-    """A listener in this process, and clients whose calls give its loop no turn."""
+    """A listener in this process, and clients that connect and send without running the event loop."""
 
     def __init__(self, max_descriptors: int = 1024) -> None:
         self.dispatcher = FakeDispatcher()
@@ -55,14 +55,14 @@
         self.address = self.listener.start((LOOPBACK, 0))
 
     def connect(self, data: bytes = b"") -> socket.socket:
-        """Open a connection, and send `data` on it."""
+        """Open a connection and send `data`."""
         client = socket.create_connection(self.address)
         client.setblocking(False)
         client.sendall(data)
         return client
 
     def connect_and_request(self, request_id: bytes) -> socket.socket:
-        """Open a connection, and send a request on it."""
+        """Open a connection and send a request."""
         return self.connect(request_bytes(x_request_id=request_id))
 
     async def wait_for_requests(self, count: int) -> None:
@@ -70,7 +70,7 @@
             await asyncio.sleep(0.001)
 
     async def read(self, client: socket.socket) -> bytes:
-        """Read up to the end of a response, or of the connection."""
+        """Read until the end of a response or of the connection."""
         received = b""
         while not received.endswith(b"served"):
             try:
@@ -93,9 +93,11 @@
 
 @async_test(limit_s=5)
 async def test_backlog_is_served_before_the_listener_closes() -> None:
+    """Closing a listening socket resets the connections in its backlog, and their requests would be lost."""
     running = RunningListener()
     clients = [running.connect_and_request(b"id-%d" % i) for i in range(2 * MAX_ACCEPTS_PER_ITERATION + 3)]
-    assert running.listener.stop_accepting()  # the loop has had no turn: none is accepted yet
+    # The event loop has not run, so no connection was accepted before.
+    assert running.listener.stop_accepting()
     for client in clients:
         assert await running.is_served(client)
     with pytest.raises(ConnectionRefusedError):
@@ -104,7 +106,8 @@
 
 @async_test(limit_s=5)
 async def test_listener_stays_open_until_there_is_capacity_for_its_backlog() -> None:
-    running = RunningListener(max_descriptors=4)  # two clients
+    """The connection limit delays the accept; connections that wait in the backlog must not be reset."""
+    running = RunningListener(max_descriptors=4)  # allows two client connections
     clients = [running.connect_and_request(b"id-%d" % i) for i in range(4)]
     assert not running.listener.stop_accepting()
     while not running.listener.stop_accepting():
@@ -116,6 +119,7 @@
 
 @async_test(limit_s=5)
 async def test_shutdown_keeps_an_idle_connection_with_an_unread_request() -> None:
+    """A connection can look idle while a request waits in the kernel; closing it would lose the request."""
     running = RunningListener()
     active, idle = running.connect_and_request(b"a"), running.connect_and_request(b"b")
     assert await running.read(active) and await running.read(idle)
@@ -124,13 +128,14 @@
     assert not running.listener.close_idle()
     assert await running.is_served(active)
     assert await running.is_closed(idle)
-    while not running.listener.close_idle():  # the response was the last one on its connection
+    while not running.listener.close_idle():  # the gateway drains, so it closes this connection, too
         await asyncio.sleep(0.001)
     assert running.dispatcher.request_ids == [b"a", b"b", b"c"]
 
 
 @async_test(limit_s=5)
 async def test_shutdown_waits_for_the_first_request_of_a_new_connection() -> None:
+    """The first request may be in transit when the shutdown starts; a silent connection is closed later."""
     running = RunningListener()
     active, silent = running.connect(), running.connect()
     while len(running.listener.connections) < 2:
@@ -146,18 +151,20 @@
 
 @async_test(limit_s=5)
 async def test_connection_with_an_unread_request_is_not_evicted() -> None:
+    """The connection that has been idle for longest may have an unread request; the next one is evicted."""
     running = RunningListener()
     oldest, second = running.connect_and_request(b"a"), running.connect_and_request(b"b")
     assert await running.read(oldest) and await running.read(second)
     running.listener._max_connections = 2
     oldest.sendall(request_bytes(x_request_id=b"c"))
-    assert running.listener._ensure_capacity()  # as for a third client
+    assert running.listener._ensure_capacity()  # makes room for a third client
     assert await running.is_served(oldest)
     assert await running.is_closed(second)
 
 
 @async_test(limit_s=5)
 async def test_idle_timeout_spares_a_connection_with_an_unread_request() -> None:
+    """A request may reach the kernel just before the timeout; closing the connection would lose it."""
     running = RunningListener()
     active, silent = running.connect_and_request(b"a"), running.connect_and_request(b"b")
     assert await running.read(active) and await running.read(silent)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""The rate limit of the log."""
+"""The rate limit of log lines."""
 
 from __future__ import annotations
 
--- a/tests/test_program_control.py
+++ b/tests/test_program_control.py
@@ -1,4 +1,4 @@
-"""The life of the real program: configuration, signals, discovery and the counter."""
+"""The real program: configuration, signals, discovery and the counter."""
 
 from __future__ import annotations
 
@@ -80,7 +80,7 @@
             await asyncio.sleep(0.01)
         late = asyncio.create_task(program.request(request_bytes(x_request_id=b"late")))
         await endpoint.wait_for_requests(2)
-        assert await idle_reader.read() == b""  # idle, so closed while the others are still served
+        assert await idle_reader.read() == b""  # the idle connection is closed while requests are in flight
         assert program.process.returncode is None
         for request in endpoint.received:
             request.writer.write(response_bytes(b"served"))
@@ -116,7 +116,7 @@
 
 @async_test()
 async def test_sighup_moves_to_the_discovery_and_counter_of_the_file(tmp_path: Path) -> None:
-    """Also where the environment named discovery at the start; requests in flight are served."""
+    """The file overrides the discovery of the environment on reload, and requests in flight are served."""
     async with RunningProgram(tmp_path, stay_silent, serve) as program:
         await program.discovery.publish([instance("s-1", program.endpoints[1].port, "gone")])
         task = asyncio.create_task(program.request(request_bytes(x_request_id=b"old")))
@@ -170,7 +170,7 @@
         assert await program.process.wait() == 0
 
 
-@async_test(limit_s=10)  # before the idle timeout
+@async_test(limit_s=10)  # less than the idle timeout, which would close the connections, too
 async def test_draining_endpoint_gets_no_requests_and_full_list_replaces_the_old(tmp_path: Path) -> None:
     async with RunningProgram(tmp_path, serve, serve) as program:
         await program.discovery.publish([instance("s-0", program.endpoints[0].port, "draining")])
@@ -189,6 +189,7 @@
 async def test_draining_endpoint_is_noticed_in_time_when_the_long_poll_gets_no_response(
     tmp_path: Path,
 ) -> None:
+    """A long poll can stay without a response, with its connection open; the program must poll again."""
     async with RunningProgram(tmp_path, serve_as(b"leaving"), serve_as(b"staying")) as program:
         discovery, server = program.discovery, program.discovery.server
         await server.wait_until(lambda server: bool(discovery.pending_polls))
@@ -207,7 +208,7 @@
 
         server.respond = respond
         count = len(server.received)
-        # The second further request shows that the response to the first one has been read.
+        # The program sends the second further request only after it has read the response to the first one.
         await server.wait_until(lambda server: len(server.received) > count + 1)
         assert asyncio.get_running_loop().time() - drain_began_s < 6.0
         bodies = {
@@ -218,7 +219,7 @@
 
 @async_test()
 async def test_no_connection_is_accepted_before_discovery_has_responded(tmp_path: Path) -> None:
-    """After a restart the cached list may call an endpoint ready that is draining."""
+    """After a restart, the cached list may contain an endpoint as ready that has started to drain since."""
     async with RunningProgram(tmp_path, serve_as(b"leaving"), serve_as(b"staying")) as program:
         discovery, ports = program.discovery, [endpoint.port for endpoint in program.endpoints]
         program.process.kill()
@@ -267,10 +268,10 @@
         b"nonsense\r\n\r\n",
     ],
 )
-@async_test(limit_s=12)  # before the timeout of the long poll
+@async_test(limit_s=12)  # less than the timeout of the long poll, after which the program polls again
 async def test_malformed_discovery_response_keeps_the_list(tmp_path: Path, response: bytes) -> None:
     async with RunningProgram(tmp_path, serve) as program:
-        await program.discovery.respond_to_poll(lambda: response)  # returns with the next poll
+        await program.discovery.respond_to_poll(lambda: response)  # returns when the next poll has arrived
         assert await program.request_status(request_bytes()) == 200
 
 
@@ -307,7 +308,7 @@
         )
         for i, respond in enumerate(responders):
             program.counter.respond = respond
-            for j in range(3):  # a new tenant needs a counter call
+            for j in range(3):  # each request is of a new tenant, which needs a counter call
                 data = request_bytes(x_request_id=b"%d-%d" % (i, j), tenant=f"{1 + 3 * i + j:016x}")
                 assert await program.request_status(data) == 200
         program.counter.stop()
@@ -317,7 +318,7 @@
 
 @async_test()
 async def test_counter_that_resets_connections_is_still_called_for_each_tenant(tmp_path: Path) -> None:
-    """One call in three is reset, the others are answered: the counter does not count as silent."""
+    """One call in three is reset. Since the others get a response, the counter must not count as failed."""
 
     def respond(request: ReceivedMessage) -> bytes:
         return (
@@ -339,7 +340,7 @@
 @pytest.mark.parametrize("billed_units", [b"1_0", b"-1", b"5", b"1e9", b"nan", b"", b"9" * 400])
 @async_test()
 async def test_billed_units_out_of_range_are_ignored(tmp_path: Path, billed_units: bytes) -> None:
-    """Above `most_units`, 4, the estimate of 2 stays."""
+    """A value that is malformed or above `most_units`, which is 4, must not replace the estimate of 2."""
     async with RunningProgram(
         tmp_path, lambda request: response_bytes(b"ok", headers=b"Billed-Units: %b\r\n" % billed_units)
     ) as program:
--- a/tests/test_program_downstream.py
+++ b/tests/test_program_downstream.py
@@ -1,4 +1,4 @@
-"""The real program towards its clients: what it reads from them, and which connections it keeps."""
+"""The real program and its clients: which requests it accepts, and which connections it closes."""
 
 from __future__ import annotations
 
@@ -137,7 +137,7 @@
 
 @async_test()
 async def test_request_id_in_use_is_rejected(tmp_path: Path) -> None:
-    """Endpoints identify a request by its id: a copy from another client would run it a second time."""
+    """Endpoints identify a request by X-Request-Id alone; a second one with this id would run it again."""
     async with RunningProgram(tmp_path, stay_silent) as program:
         (endpoint,) = program.endpoints
         task = asyncio.create_task(program.request(request_bytes("put")))
@@ -147,7 +147,7 @@
         assert (await task).body == b"served"
         assert len(endpoint.received) == 1
         endpoint.respond = serve
-        assert await program.request_status(request_bytes("put")) == 200  # it is no longer in use
+        assert await program.request_status(request_bytes("put")) == 200  # the id is no longer in use
 
 
 @async_test()
@@ -170,7 +170,7 @@
 )
 @async_test()
 async def test_too_long_body_is_rejected_unread(tmp_path: Path, head: bytes) -> None:
-    """The response comes at once; a client that goes on sending is disconnected."""
+    """The response is sent before the body is read, and a client that continues to send is disconnected."""
     async with RunningProgram(tmp_path, serve) as program:
         reader, writer = await program.connect()
         writer.write(head + b"x" * 100_000)
@@ -202,7 +202,7 @@
         assert not program.endpoints[0].received
 
 
-@async_test(limit_s=4)  # before the timeout of the attempt
+@async_test(limit_s=4)  # less than the timeout of the attempt, which would close the connection, too
 async def test_client_disconnect_cancels_the_attempt(tmp_path: Path) -> None:
     async with RunningProgram(tmp_path, stay_silent) as program:
         (endpoint,) = program.endpoints
@@ -216,7 +216,7 @@
 
 @async_test()
 async def test_pipelined_request_is_not_forwarded_after_client_disconnect(tmp_path: Path) -> None:
-    """Reading is paused while requests wait, so the end of the connection lies unread behind them."""
+    """Reading is paused while requests are queued, so the event loop does not report the disconnect."""
     async with RunningProgram(tmp_path, stay_silent) as program:
         (endpoint,) = program.endpoints
         loop, client = asyncio.get_running_loop(), socket.create_connection((LOOPBACK, program.port))
@@ -228,7 +228,7 @@
                 )
             )
             await endpoint.wait_for_requests(1)
-            client.shutdown(socket.SHUT_WR)  # in the kernel of the program from here on, and unread
+            client.shutdown(socket.SHUT_WR)  # reaches the kernel at once, but the program does not read it
             endpoint.respond = serve
             endpoint.received[0].writer.write(response_bytes(b"served"))
             try:
@@ -242,7 +242,7 @@
 
 @async_test(limit_s=10)
 async def test_connections_without_a_request_in_flight_are_evicted_for_new_ones(tmp_path: Path) -> None:
-    """Silent ones, ones with half a request, and idle ones; not one whose request is in flight."""
+    """Silent connections, connections with a partial request and idle ones are evicted."""
     async with RunningProgram(tmp_path, stay_silent, sockets=128) as program:
         (endpoint,) = program.endpoints
         reader, writer = await program.connect()
@@ -263,6 +263,7 @@
 
 @async_test(limit_s=10)
 async def test_idle_connections_are_evicted_before_one_without_a_first_request(tmp_path: Path) -> None:
+    """A client retries on a new connection if an idle one is closed, but not if its first request fails."""
     async with RunningProgram(tmp_path, serve, sockets=128) as program:
         reader, writer = await program.connect()
         connections = []
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The example in the README runs as printed."""
+"""The code example in the README runs without changes."""
 
 from __future__ import annotations
 
--- a/tests/test_request_parsing.py
+++ b/tests/test_request_parsing.py
@@ -1,4 +1,4 @@
-"""The codec of client requests, without a connection."""
+"""Parsing and validation of client requests, without a connection."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 def parsed_request(
     class_name: bytes, method: bytes, body: bytes = b"", **headers: bytes | None
 ) -> ParsedRequest:
-    """Return a valid request, with `headers` in place of the defaults; None leaves one out."""
+    """Return a valid request; `headers` replace the defaults, and None leaves a header out."""
     request = ParsedRequest()
     request.target = b"/api/v2/00000000B4D65521?page=2"
     request.path = b"/api/v2/00000000B4D65521"
@@ -77,10 +77,10 @@
 
 
 @pytest.mark.parametrize(
-    ("value", "time_left_ms"), [(b"900u", 0.9), (b"250m", 250.0), (b"1.5m", 1.5), (b"60000m", 4000.0)]
+    ("value", "remaining_ms"), [(b"900u", 0.9), (b"250m", 250.0), (b"1.5m", 1.5), (b"60000m", 4000.0)]
 )
-def test_deadline_is_in_milliseconds_and_at_most_that_of_the_class(value: bytes, time_left_ms: float) -> None:
-    assert validate(parsed_request(b"read", b"GET", x_deadline=value)).remaining_ms == time_left_ms
+def test_deadline_is_in_milliseconds_and_at_most_that_of_the_class(value: bytes, remaining_ms: float) -> None:
+    assert validate(parsed_request(b"read", b"GET", x_deadline=value)).remaining_ms == remaining_ms
 
 
 @pytest.mark.parametrize(
--- a/tests/test_settings_codec.py
+++ b/tests/test_settings_codec.py
@@ -1,4 +1,4 @@
-"""The codec of the settings object, and the errors that name its keys."""
+"""Decoding of the settings object, and the keys that its errors name."""
 
 from __future__ import annotations
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The steps of a graceful shutdown, and when each is taken."""
+"""The steps of a graceful shutdown and their times."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class FakeLoop:
-    """A loop whose clock jumps to the next callback."""
+    """An event loop whose clock jumps to the time of the next callback."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -31,7 +31,7 @@
 
 
 class FakeDispatcher:
-    """A dispatcher that records when its pending requests are failed."""
+    """A dispatcher that records when it is told to fail its pending requests."""
 
     def __init__(self, loop: FakeLoop, deadline_ms: float) -> None:
         self.settings = settings(classes=(dataclasses.replace(READ_CLASS, deadline_ms=deadline_ms),))
@@ -44,7 +44,13 @@
 
 
 class FakeListener:
-    """A listener that has accepted its backlog, and closed its connections, after some calls."""
+    """A listener whose methods report success after a number of calls.
+
+    Args:
+        loop: The event loop.
+        accept_calls: Calls of `stop_accepting` before the backlog is empty.
+        idle_calls: Calls of `close_idle` before all connections are closed.
+    """
 
     def __init__(self, loop: FakeLoop, accept_calls: int = 0, idle_calls: int = 0) -> None:
         self.accept_calls, self.idle_calls = accept_calls, idle_calls
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter as a program: transcripts of well-formed, malformed and truncated input."""
+"""The simulator adapter, run as a program with well-formed, malformed and truncated input."""
 
 from __future__ import annotations
 
