--- a/api_gateway/network/downstream/connection.py
+++ b/api_gateway/network/downstream/connection.py
@@ -199,8 +199,7 @@
                 cause if isinstance(cause, BadRequestError) else BadRequestError("input is not valid HTTP")
             )
         else:
-            # Limits input that the parser consumes without a callback, such as an endless header or chunk
-            # line.
+            # Limits input that the parser consumes without a callback, such as an endless header line.
             is_reading_head = self._partial_request is not None and not self._partial_request.method
             if self._received_bytes > (MAX_HEADER_BYTES if is_reading_head else MAX_REQUEST_WIRE_BYTES):
                 self._reject(BadRequestError("request has too many bytes on the wire"))
@@ -308,7 +307,14 @@
         return True
 
     def _close_after_response(self, status: int) -> None:
-        """Close the connection, or half-close it if the client may be sending, and discard further input."""
+        """Close the connection, or half-close it if the client may be sending, and discard further input.
+
+        The client may be sending if a request is partly read, or if the request was rejected, since its body
+        or further requests may follow.
+
+        Args:
+            status: Status code of the response.
+        """
         may_be_sending = self._partial_request is not None or 400 <= status < 500
         self._is_discarding_input = True
         self._queue.clear()
--- a/api_gateway/shutdown.py
+++ b/api_gateway/shutdown.py
@@ -25,6 +25,7 @@
 # Clients may still open connections up to 0.4 s after the signal.
 ACCEPT_AFTER_SIGNAL_S = 0.5
 CHECK_INTERVAL_S = 0.02
+# Longer deadlines are cut off: the time until SIGKILL does not grow with them.
 MAX_AWAITED_DEADLINE_S = 3.0
 DRAIN_MARGIN_S = 0.4
 FLUSH_DELAY_S = 0.15
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -52,36 +52,37 @@
 
 
 def test_requests_are_served_over_four_batches() -> None:
+    """The name of the count and the endpoint are known from the output only, so the input is run in steps."""
     completed = run_simulator(
         "BATCH 900\nEND\n" + opening_batch("gateway/0") + batch(1010, request_line("gateway/0", "r-a"))
     )
     assert completed.returncode == 0 and completed.stderr == ""
     lines = completed.stdout.splitlines()
     assert lines[0] == "OK" and lines.count("OK") == 3
-    name = re.search(r"ADD gateway/0 (\S+) \S+ \S+", completed.stdout)
-    assert name and name[1].isascii() and len(name[1]) <= 64
-    again = run_simulator(
+    count_name = re.search(r"ADD gateway/0 (\S+) \S+ \S+", completed.stdout)
+    assert count_name and count_name[1].isascii() and len(count_name[1]) <= 64
+    with_counter_value = run_simulator(
         "BATCH 900\nEND\n"
         + opening_batch("gateway/0")
         + batch(1010, request_line("gateway/0", "r-a"))
-        + batch(1014, f"COUNTER_REPLY gateway/0 1 Ok 2.15 {name[1]}")
+        + batch(1014, f"COUNTER_REPLY gateway/0 1 Ok 2.15 {count_name[1]}")
     )
-    sent = re.search(r"DELIVER gateway/0 r-a ([\d.]+) (10\.0\.0\.\d:80)", again.stdout)
-    assert sent and 0 < float(sent[1]) <= 1000
-    served = run_simulator(
+    start_attempt = re.search(r"DELIVER gateway/0 r-a ([\d.]+) (10\.0\.0\.\d:80)", with_counter_value.stdout)
+    assert start_attempt and 0 < float(start_attempt[1]) <= 1000
+    with_response = run_simulator(
         "BATCH 900\nEND\n"
         + opening_batch("gateway/0")
         + batch(1010, request_line("gateway/0", "r-a"))
-        + batch(1014, f"COUNTER_REPLY gateway/0 1 Ok 2.15 {name[1]}")
+        + batch(1014, f"COUNTER_REPLY gateway/0 1 Ok 2.15 {count_name[1]}")
         + batch(
             1100,
-            f"ENDED gateway/0 r-a 0 {sent[2]} Ok 86.0 1 0 0 mean_ms:14.5,news:3",
+            f"ENDED gateway/0 r-a 0 {start_attempt[2]} Ok 86.0 1 0 0 mean_ms:14.5,news:3",
             "CLIENT_LEFT gateway/0 r-a",
             "TICK_DUE gateway/0 sweep",
         )
     )
-    assert served.returncode == 0
-    assert "REFUSE" not in served.stdout and "GIVE_UP" not in served.stdout
+    assert with_response.returncode == 0
+    assert "REFUSE" not in with_response.stdout and "GIVE_UP" not in with_response.stdout
 
 
 @pytest.mark.parametrize(
@@ -152,6 +153,7 @@
 
 
 def test_actions_do_not_depend_on_hash_seed_or_on_other_instances() -> None:
+    """Code that iterates over a set, or shares a random generator between instances, would break this."""
     together = run_simulator(transcript("gateway/0", "gateway/1")).stdout
     assert together.count("DELIVER") + together.count("ADD") > 20
     assert run_simulator(transcript("gateway/0", "gateway/1"), hash_seed="99").stdout == together
