--- a/api_gateway/__init__.py
+++ b/api_gateway/__init__.py
@@ -1,4 +1,4 @@
-"""An API gateway that meters many tenants' use of one shared back end."""
+"""An API gateway that meters many tenants' usage of a shared back end."""
 
 from api_gateway.decisions.gateway import Gateway
 
--- a/api_gateway/decisions/__init__.py
+++ b/api_gateway/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of one gateway: pure modules with no I/O, clock or global randomness."""
+"""Decisions of one gateway: modules without I/O, clock or global randomness."""
--- a/api_gateway/decisions/attempt_flow.py
+++ b/api_gateway/decisions/attempt_flow.py
@@ -1,4 +1,4 @@
-"""The attempts of a request: started, learned from when they end, retried or given up."""
+"""Processing of a request from its first attempt to its final response: results, retries, failure."""
 
 from __future__ import annotations
 
@@ -21,23 +21,23 @@
 
 
 class AttemptFlow:
-    """Takes each attempt from its start to its end, and a request with attempts to its one final answer.
+    """Starts attempts, records their results, and retries or finishes their requests.
 
-    It holds no state of its own.
+    It has no state of its own.
 
     Args:
         settings: The gateway's settings.
-        actions: Where the attempts and answers are added.
-        rejections: Answers that a request was not served.
-        pending_requests: The requests with attempts.
-        endpoint_selector: Chooses among the endpoints.
-        slow_start: Keeps the budgets of those that are warming up.
-        outlier_detector: Judges endpoints.
-        retry_policy: The rules on attempts.
-        load_sampler: Samples the load.
-        admission: Keeps the latency of each class.
-        usage_reporter: Reports units that were used.
-        traffic: The gateway's rates.
+        actions: List that actions are added to.
+        rejections: Rejects requests.
+        pending_requests: Requests with attempts.
+        endpoint_selector: Selects an endpoint.
+        slow_start: Budgets of the endpoints in slow start.
+        outlier_detector: Ejects endpoints.
+        retry_policy: Decides whether a request is retried.
+        load_sampler: Turns results into samples of the load.
+        admission: Holds the latency of each class.
+        usage_reporter: Reports usage to the counter service.
+        traffic: Rates of the gateway's traffic.
         latency: Typical latencies of the classes.
     """
 
@@ -72,7 +72,7 @@
         self._latency = latency
 
     def start(self, pending: PendingRequest, endpoint: EndpointState, now_ms: float) -> None:
-        """Start an attempt of a request at an endpoint."""
+        """Start an attempt of a request, sent to an endpoint."""
         action = self._retry_policy.attempt_action(pending, endpoint, now_ms)
         latency_block = self._class_latencies[pending.class_name].start_attempt(now_ms)
         self._pending_requests.start_attempt(pending, Attempt(endpoint, now_ms, latency_block))
@@ -81,7 +81,7 @@
         self._actions.append(action)
 
     def record_attempt_end(self, event: AttemptEnded, now_ms: float) -> None:
-        """Take in the end of an attempt: learn from it, then answer, retry or give up."""
+        """Record the result of an attempt, then finish, retry or fail its request."""
         pending = self._pending_requests.get(event.request_id)
         if pending is None or not 0 <= event.attempt < len(pending.attempts):
             return
@@ -111,16 +111,19 @@
             self._traffic.record_completion()
 
     def _charge_actual_units(self, pending: PendingRequest, actual_units: float, now_ms: float) -> None:
-        """Charge the difference between the units that were used and those that were estimated."""
+        """Charge the difference between the units that were used and the client's estimate."""
         tenant = pending.tenant
         if actual_units > 0 and tenant.plan.quota_rate > 0:
             tenant.quota.spend(actual_units - pending.units)
             self._usage_reporter.report(tenant, now_ms)
 
     def _retry(self, pending: PendingRequest, event: AttemptEnded, now_ms: float) -> bool:
-        """Start another attempt, if it can be in time and is paid for; whether there is one.
+        """Retry a request if that can succeed in time and is within the retry budget.
 
-        After a local limit there is none: another endpoint does not lift it.
+        A local limit is not retried, since it applies to all endpoints.
+
+        Returns:
+            Whether an attempt was started.
         """
         if event.result is AttemptResult.LOCAL_LIMIT:
             return False
@@ -135,13 +138,13 @@
         return True
 
     def mark_streaming(self, event: ResponseStarted) -> None:
-        """Note that a streamed answer has begun."""
+        """Record that a streamed response has begun."""
         pending = self._pending_requests.get(event.request_id)
         if pending is not None:
             pending.is_streaming = True
 
     def finish(self, pending: PendingRequest) -> None:
-        """Send no more of a request; cancel its attempts in flight, and wait for their ends."""
+        """Stop attempting a request, and cancel its attempts in flight; it stays pending until they end."""
         in_flight = [i for i, attempt in enumerate(pending.attempts) if attempt.is_in_flight]
         if self._is_cancellation_supported and not pending.is_streaming and not pending.is_finished:
             self._actions.extend(CancelAttempt(pending.request_id, i) for i in in_flight)
@@ -150,7 +153,7 @@
             pending.tenant.in_flight -= 1
 
     def _give_up(self, pending: PendingRequest) -> None:
-        """Answer a request that will not be served: a rejection promises that it never ran."""
+        """Reject a request that cannot be served, or fail it if it may have run."""
         if pending.may_have_run():
             self._actions.append(FailRequest(pending.request_id))
         else:
--- a/api_gateway/decisions/endpoints.py
+++ b/api_gateway/decisions/endpoints.py
@@ -1,4 +1,4 @@
-"""What this gateway knows of each endpoint, and the table of all that are listed."""
+"""State of each endpoint, and the table of all endpoints in the list."""
 
 from __future__ import annotations
 
@@ -11,24 +11,25 @@
 
 
 class EndpointState:
-    """What this gateway knows of one endpoint.
+    """State that this gateway keeps of one endpoint.
 
     Args:
-        endpoint: Its entry of the endpoint list.
+        endpoint: Its entry in the endpoint list.
 
     Attributes:
-        in_flight: Own attempts in flight.
-        latency_ratio: Running mean of its latency over the typical one of the request's class.
-        consecutive_failures: Failures since its last success, while it is not ejected.
-        ejection_count: Ejections since its last success; it stays ejected until then.
-        ejected_until_ms: When the next probe may be sent to it.
-        has_connect_failure: Whether connections to it failed: at its next success it may have just started.
-        connection_idle_since_ms: When an answer last left a connection to it idle.
-        started_at_ms: When its process started, by the list; 0 for long ago.
-        slow_start_began_at_ms: When its slow start began; 0 for long ago.
-        slow_start_budget: Work that may be sent to it while it warms up, as of `slow_start_budget_at_ms`.
-        last_attempt_at_ms: When it was sent an attempt last.
-        last_time_slot: The last time slot of the fleet in which it was sent a single request.
+        in_flight: Number of this gateway's attempts in flight.
+        latency_ratio: Running mean of the ratio of its latency to the typical latency of the request's class.
+        consecutive_failures: Counted failures since its last success.
+        ejection_count: Number of ejections since its last success, up to a limit; 0 if it is not ejected.
+        ejected_until_ms: When the next probe may be sent.
+        has_connect_failure: Whether a connect has failed since its last success; it may have restarted since.
+        connection_idle_since_ms: When its last successful response left a connection idle.
+        started_at_ms: When its process started, by the endpoint list; 0 if that is long ago.
+        slow_start_began_at_ms: When its slow start began; 0 if that is long ago.
+        slow_start_budget: Work that it may be sent in slow start, in milliseconds of typical latency, as of
+            `slow_start_budget_at_ms`.
+        last_attempt_at_ms: When it was last sent an attempt.
+        last_time_slot: Number of the last time slot that was used to send it a single request.
     """
 
     def __init__(self, endpoint: Endpoint) -> None:
@@ -50,11 +51,11 @@
 
     @property
     def is_ejected(self) -> bool:
-        """Whether it is ejected: it gets probes only, until one succeeds."""
+        """Whether it is ejected; it then gets only probes, until one succeeds."""
         return self.ejection_count > 0
 
     def update(self, endpoint: Endpoint) -> None:
-        """Take over an entry of the list; a later start is another process, of which nothing is known."""
+        """Apply an entry of the endpoint list; a later start means a new process and resets the state."""
         self.zone = endpoint.zone
         self.failure_domain = endpoint.failure_domain
         self.weight = max(endpoint.weight, MIN_WEIGHT)
@@ -68,18 +69,18 @@
             self.latency_ratio = 1.0
 
     def has_same_placement(self, endpoint: Endpoint) -> bool:
-        """Whether an entry leaves its zone, its failure domain and whether it is up as they are."""
+        """Whether an entry has the same zone and failure domain, and agrees on whether it is up."""
         is_up = endpoint.status is EndpointStatus.UP
         return (self.zone, self.failure_domain, self.is_up) == (endpoint.zone, endpoint.failure_domain, is_up)
 
 
 class EndpointTable:
-    """All endpoints of the list.
+    """All endpoints of the endpoint list.
 
     Attributes:
-        available: Those that are up, by name.
-        ring: The same in the order that all gateways agree on.
-        revision: Grows with each change that may change which endpoints a gateway works with.
+        available: Endpoints that are up, by name.
+        ring: The available endpoints, in an order that is the same in all gateways.
+        revision: Incremented by each change that may affect the subset.
     """
 
     def __init__(self) -> None:
@@ -90,27 +91,27 @@
         self.revision = 0
 
     def __len__(self) -> int:
-        """Return the number of endpoints, draining ones included."""
+        """Return the number of endpoints, including draining ones."""
         return len(self._endpoints)
 
     def __getitem__(self, name: str) -> EndpointState:
-        """Return the endpoint of this name."""
+        """Return the endpoint with this name."""
         return self._endpoints[name]
 
     def __contains__(self, name: str) -> bool:
-        """Whether an endpoint of this name is listed."""
+        """Whether there is an endpoint with this name."""
         return name in self._endpoints
 
     def values(self) -> list[EndpointState]:
-        """Return all endpoints."""
+        """Return all endpoints, including draining ones."""
         return list(self._endpoints.values())
 
     def mark_changed(self) -> None:
-        """Note a change of an endpoint that may change which endpoints a gateway works with."""
+        """Record a change of an endpoint that may affect the subset."""
         self.revision += 1
 
     def apply(self, update: EndpointUpdate) -> None:
-        """Take over an update of the list; an update that names all endpoints removes those it leaves out."""
+        """Apply an update of the endpoint list; a complete list removes the endpoints that it omits."""
         if update.kind is not UpdateKind.CHANGES:
             listed = {endpoint.name for endpoint in update.endpoints}
             for name in [name for name in self._endpoints if name not in listed]:
@@ -154,6 +155,6 @@
         self.mark_changed()
 
     def in_failure_domain_of(self, state: EndpointState) -> list[EndpointState]:
-        """Return the endpoints of an endpoint's failure domain that are up and not ejected."""
+        """Return the endpoints in the failure domain of `state` that are up and not ejected."""
         domain = self._failure_domains.get((state.zone, state.failure_domain), {})
         return [other for other in domain.values() if other.is_up and not other.is_ejected]
--- a/api_gateway/decisions/gateway.py
+++ b/api_gateway/decisions/gateway.py
@@ -1,6 +1,6 @@
-"""The decisions of one gateway: each event goes to the owner of its state, and actions come back.
+"""Decisions of one gateway: passes each event to the component that handles it, and returns the actions.
 
-No I/O, clock or global randomness: the same seed, events and times give the same actions.
+Without I/O, clock or global randomness, the same seed, events and times always give the same actions.
 """
 
 from __future__ import annotations
@@ -47,22 +47,21 @@
 from api_gateway.model.settings import Settings
 
 SUBSCRIBE_TIMER = "subscribe"
-MIN_SUBSCRIBE_BACKOFF_MS = (
-    500.0  # least pause after a failed call for the endpoint list; jitter adds as much again
-)
+# Backoff after a failed request for the endpoint list; jitter adds up to the same time again.
+MIN_SUBSCRIBE_BACKOFF_MS = 500.0
 
 Handler = Callable[[Any, float], None]
 
 
 class Gateway:
-    """The decisions of one gateway.
+    """Decides what one gateway does after each event.
 
     Args:
-        settings: The settings of the gateway.
-        seed: Seed of its random draws.
+        settings: The gateway's settings.
+        seed: Seed of all random draws.
 
     Raises:
-        ValueError: The settings make no sense.
+        ValueError: The settings are invalid.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -82,14 +81,14 @@
         self._handlers = self._event_handlers()
 
     def _build_admission(self) -> None:
-        """Build what measures the load and admits requests."""
+        """Create the components that measure the load and admit requests."""
         self.admission = AdmissionController(self.settings.classes)
         self.latency = TypicalLatency(self.settings.classes)
         self.traffic = TrafficRates()
         self.pending_requests = PendingRequests()
 
     def _build_endpoints(self) -> None:
-        """Build what knows the endpoints and chooses among them."""
+        """Create the components that keep track of the endpoints and select among them."""
         settings = self.settings
         self.endpoints = EndpointTable()
         self.subset = EndpointSubset(self.endpoints, settings, self.rng)
@@ -117,7 +116,7 @@
         )
 
     def _build_tenants(self) -> None:
-        """Build what keeps the tenants' quotas."""
+        """Create the components that enforce the tenants' quotas."""
         self.counter_health = CounterHealth(self.log, self.rng)
         self.usage_reporter = UsageReporter(self.settings, self.counter_health, self.rng, self._actions)
         self.tenants = TenantTable(
@@ -128,7 +127,7 @@
         )
 
     def _build_load_sampler(self) -> None:
-        """Build what measures the load by the ends of attempts."""
+        """Create the component that measures the load by the results of attempts."""
         self.load_sampler = LoadSampler(
             settings=self.settings,
             admission=self.admission,
@@ -142,7 +141,7 @@
         )
 
     def _build_request_flow(self) -> None:
-        """Build the way of a request through all of these."""
+        """Create the components that process requests and their attempts with the help of the others."""
         rejections = Rejections(self._actions, self.admission, self.settings.max_retry_after_ms)
         self.attempt_flow = AttemptFlow(
             settings=self.settings,
@@ -176,7 +175,7 @@
         )
 
     def _event_handlers(self) -> dict[type[Event], Handler]:
-        """Return the owner of each event; health checks and gossip tell nothing that is used."""
+        """Return the handler of each event; health checks and gossip are not used."""
         return {
             RequestReceived: self.request_flow.receive,
             AttemptEnded: self.attempt_flow.record_attempt_end,
@@ -190,17 +189,17 @@
         }
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """Return the actions that answer one event.
+        """Handle one event, and return the resulting actions.
 
         Args:
-            now_ms: The time of the event; an earlier one than that of the last event counts as that one.
-            event: What has happened.
+            now_ms: Time of the event; if it is earlier than that of the previous event, the latter is used.
+            event: The event.
 
         Raises:
             TypeError: `event` is not an event of `api_gateway.model.events`.
         """
         self._now_ms = now_ms = max(self._now_ms, now_ms)
-        self._actions.clear()  # of the last event, or of one that raised an exception
+        self._actions.clear()  # an event whose handler raised an exception leaves its actions behind
         if not self.uptime.has_started:
             self._start(now_ms)
         self.sweep_timer.detect_stall(now_ms)
@@ -230,7 +229,7 @@
             self._actions.append(SubscribeToEndpoints())
 
     def _sweep(self, now_ms: float) -> None:
-        """Bring rates, estimates and sizes up to date, and decide on what waits for too long."""
+        """Update rates, estimates and sizes, and decide on requests that have waited too long."""
         elapsed_ms, age_ms = self.sweep_timer.elapsed_ms(now_ms), self.uptime.age_ms(now_ms)
         decay_factor = self.traffic.sweep_completions(elapsed_ms, age_ms)
         subset = self.subset.refresh(now_ms)
@@ -247,11 +246,11 @@
         self._actions.append(self.sweep_timer.restart(now_ms))
 
     def _is_overloaded(self) -> bool:
-        """Whether endpoints are overloaded or ejected, or hold much of this gateway's work."""
+        """Whether load is shed, most endpoints are ejected, or many attempts are in flight."""
         is_shedding = self.admission.admitted_fraction < OVERLOADED_ADMITTED_FRACTION
         is_loaded = 2 * self.pending_requests.attempts_in_flight > len(self.subset.warm)
         return is_shedding or self.outlier_detector.is_majority_ejected or is_loaded
 
 
 def _ignore(_event: Event, _now_ms: float) -> None:
-    """Take no notice of an event."""
+    """Ignore an event."""
--- a/api_gateway/decisions/outlier_detection.py
+++ b/api_gateway/decisions/outlier_detection.py
@@ -1,7 +1,7 @@
-"""Outlier detection: endpoints that fail or are far slower than the others are ejected, and probed again.
+"""Outlier detection: ejects endpoints that fail repeatedly, and marks those that are far slower than others.
 
-An ejected endpoint comes back with its first success. It is probed by single requests of clients: the first
-one `EJECTION_BACKOFF_MS` after its ejection. Each probe that fails doubles the backoff.
+An ejected endpoint is probed by single requests of clients, the first one `EJECTION_BACKOFF_MS` after its
+ejection. Its first success ends the ejection; each failed probe doubles the backoff.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 EJECTION_BACKOFF_MS = 500.0
 MAX_EJECTION_BACKOFF_MS = 4000.0
 MAX_EJECTION_COUNT = 10
-MAX_CONSECUTIVE_FAILURES = 3  # failures, resets or slow timeouts in a row that eject an endpoint
-OUTLIER_LATENCY_RATIO = 2.5  # an endpoint that is so many times slower than the median is an outlier
-LATENCY_RATIO_WEIGHT = 0.2  # weight of one result in the running latency ratio
+MAX_CONSECUTIVE_FAILURES = 3  # an endpoint is ejected after so many failures in a row
+OUTLIER_LATENCY_RATIO = 2.5  # multiple of the median latency ratio above which an endpoint is an outlier
+LATENCY_RATIO_WEIGHT = 0.2  # weight of one result in the running mean of the latency ratio
 MAX_LATENCY_RATIO = 20.0
-MIN_FAILURE_LATENCY_RATIO = 2.0  # what an attempt without a good answer counts as, at least
-PROBES_PER_REQUEST = 0.05  # probes of ejected endpoints earned by each admitted request
+MIN_FAILURE_LATENCY_RATIO = 2.0  # least latency ratio that a failed attempt counts with
+PROBES_PER_REQUEST = 0.05  # tokens that each admitted request adds to the probe budget
 MAX_SAVED_PROBES = 2.0
 
 RESET_RESULTS = frozenset((AttemptResult.CONNECTION_RESET, AttemptResult.NOT_SENT))
@@ -29,34 +29,35 @@
 
 
 class ProbeBudget:
-    """Token bucket of the requests that may probe an ejected endpoint."""
+    """Token bucket of the requests that may probe ejected endpoints."""
 
     def __init__(self) -> None:
         self.tokens = MAX_SAVED_PROBES
 
     def earn(self) -> None:
-        """Add what one admitted request earns."""
+        """Add the tokens for one admitted request."""
         self.tokens = min(self.tokens + PROBES_PER_REQUEST, MAX_SAVED_PROBES)
 
     def has_token(self) -> bool:
-        """Whether a probe may be sent."""
+        """Whether there is a token for a probe."""
         return self.tokens >= 1
 
     def spend(self) -> None:
-        """Take the token of a probe."""
+        """Remove the token for a probe."""
         self.tokens -= 1
 
 
 class OutlierDetector:
-    """Judges endpoints by the results of their attempts.
+    """Detects outliers by the results of their attempts.
 
     Args:
-        endpoint_table: The endpoints.
-        log: Where ejections are logged.
+        endpoint_table: All endpoints.
+        log: Log that ejections are written to.
 
     Attributes:
-        median_latency_ratio: Median over the subset, 1 at least.
-        is_majority_ejected: Whether over half of the subset is ejected: then ejection makes no outlier.
+        median_latency_ratio: Median of the latency ratios in the subset, at least 1.
+        is_majority_ejected: Whether more than half of the subset is ejected; ejected endpoints then do not
+            count as outliers.
     """
 
     def __init__(self, endpoint_table: EndpointTable, log: RateLimitedLog) -> None:
@@ -66,18 +67,18 @@
         self.is_majority_ejected = False
 
     def sweep(self, subset: Iterable[EndpointState], ejected_count: int) -> None:
-        """Compare the endpoints of the subset anew.
+        """Update what endpoints are compared with.
 
         Args:
-            subset: All of its endpoints.
-            ejected_count: How many of them are ejected.
+            subset: The endpoints of the subset.
+            ejected_count: Number of ejected endpoints among them.
         """
         ratios = sorted(endpoint.latency_ratio for endpoint in subset)
         self.median_latency_ratio = max(ratios[len(ratios) // 2], 1.0) if ratios else 1.0
         self.is_majority_ejected = 2 * ejected_count > len(ratios)
 
     def is_outlier(self, endpoint: EndpointState) -> bool:
-        """Whether an endpoint is far slower than the median, or ejected while most are not."""
+        """Whether an endpoint is far slower than the median, or ejected while most others are not."""
         is_slow = endpoint.latency_ratio > OUTLIER_LATENCY_RATIO * self.median_latency_ratio
         return is_slow or (endpoint.is_ejected and not self.is_majority_ejected)
 
@@ -89,19 +90,19 @@
         objective_ms: float,
         now_ms: float,
     ) -> None:
-        """Note what the end of an attempt says of its endpoint.
+        """Record the result of an attempt at an endpoint.
 
         Args:
-            endpoint: Where it was sent.
-            event: How it ended.
-            expected_latency_ms: The typical latency of such a request.
-            objective_ms: The latency objective of its class.
-            now_ms: The time of its end.
+            endpoint: The endpoint.
+            event: The end of the attempt.
+            expected_latency_ms: Typical latency of such a request.
+            objective_ms: Latency objective of its class.
+            now_ms: The current time.
         """
         if event.result is AttemptResult.OK:
             self._record_success(endpoint, event.duration_ms / expected_latency_ms, now_ms)
         elif event.result is AttemptResult.CONNECT_FAILED:
-            # A reset ends one connection only; an endpoint that is down refuses the next connect.
+            # A reset affects one connection only; if the endpoint is down, the next connect fails.
             endpoint.has_connect_failure = True
             self.eject(endpoint, now_ms)
         elif event.result in RESET_RESULTS:
@@ -115,7 +116,7 @@
 
     def _record_success(self, endpoint: EndpointState, latency_ratio: float, now_ms: float) -> None:
         if endpoint.has_connect_failure:
-            # It may have restarted; the endpoint list shows that only later.
+            # The endpoint may have restarted, which the endpoint list shows only later.
             endpoint.slow_start_began_at_ms = max(endpoint.slow_start_began_at_ms, now_ms)
             endpoint.has_connect_failure = False
             self._endpoint_table.mark_changed()
@@ -131,13 +132,13 @@
         endpoint.latency_ratio += LATENCY_RATIO_WEIGHT * difference
 
     def _record_failure(self, endpoint: EndpointState, now_ms: float, *, is_counted: bool = True) -> None:
-        """Count a failure, and eject the endpoint after too many of them, or if this was a probe."""
+        """Count a failure, and eject the endpoint if it had too many in a row or this was a probe."""
         endpoint.consecutive_failures += is_counted
         if endpoint.is_ejected or endpoint.consecutive_failures >= MAX_CONSECUTIVE_FAILURES:
             self.eject(endpoint, now_ms)
 
     def eject(self, endpoint: EndpointState, now_ms: float) -> None:
-        """Eject an endpoint, or double its backoff if a probe of it failed."""
+        """Eject an endpoint, or double its backoff after a failed probe."""
         if endpoint.is_ejected and now_ms < endpoint.ejected_until_ms:
             return
         backoff_ms = min(EJECTION_BACKOFF_MS * 2**endpoint.ejection_count, MAX_EJECTION_BACKOFF_MS)
--- a/api_gateway/decisions/pending_requests.py
+++ b/api_gateway/decisions/pending_requests.py
@@ -1,4 +1,4 @@
-"""Requests with attempts: until they are answered and their last attempt has ended."""
+"""Requests with attempts, until they are finished and their last attempt has ended."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
     """One attempt of a request.
 
     Args:
-        endpoint: Where it was sent.
-        started_at_ms: When the decision was made.
-        latency_block: The block of its class that its latency counts in.
+        endpoint: The endpoint that it was sent to.
+        started_at_ms: When it was decided on.
+        latency_block: Block of attempts of its class that its latency is added to.
 
     Attributes:
-        is_in_flight: Whether its end has not been reported.
-        may_have_run: Whether it may have run: so until its result proves that it never did.
+        is_in_flight: Whether it has not ended yet.
+        may_have_run: Whether it may have run; True until its result proves that it never did.
     """
 
     def __init__(self, endpoint: EndpointState, started_at_ms: float, latency_block: LatencyBlock) -> None:
@@ -36,20 +36,20 @@
 
 
 class PendingRequest:
-    """A request from its receipt until it is answered and its last attempt has ended.
+    """A request from its receipt until it is finished and its last attempt has ended.
 
     Args:
-        request: What the client sent.
+        request: The event that it was received with.
         request_class: Its class.
-        tenant: Who is charged for it.
-        objective_at_ms: When an answer stops being worth an attempt.
-        deadline_at_ms: When the client stops waiting.
+        tenant: The tenant that is charged for it.
+        objective_at_ms: Time after which a response is not worth an attempt.
+        deadline_at_ms: Time at which the client stops waiting.
 
     Attributes:
         work_ms: Its expected latency on an idle endpoint, in milliseconds; set when it is admitted.
-        attempts: Its attempts in their order.
-        is_finished: Whether the client has its final answer, or has gone.
-        is_streaming: Whether its answer has begun.
+        attempts: Its attempts, in the order in which they started.
+        is_finished: Whether the client has its final response or has disconnected.
+        is_streaming: Whether a streamed response has begun.
     """
 
     def __init__(
@@ -72,21 +72,21 @@
 
     @property
     def request_id(self) -> str:
-        """The id of the request."""
+        """Id of the request."""
         return self.request.request_id
 
     @property
     def class_name(self) -> str:
-        """The name of its class."""
+        """Name of its class."""
         return self.request_class.name
 
     @property
     def units(self) -> float:
-        """Its size in quota units, as estimated by the client."""
+        """Size in quota units, as estimated by the client."""
         return self.request.units
 
     def has_attempt_in_flight(self) -> bool:
-        """Whether the end of any attempt has not been reported."""
+        """Whether any attempt is in flight."""
         return any(attempt.is_in_flight for attempt in self.attempts)
 
     def may_have_run(self) -> bool:
@@ -98,7 +98,7 @@
     """The requests with attempts, by id.
 
     Attributes:
-        attempts_in_flight: Attempts in flight.
+        attempts_in_flight: Number of attempts in flight of all requests.
     """
 
     def __init__(self) -> None:
@@ -110,7 +110,7 @@
         return len(self._requests)
 
     def __contains__(self, request_id: str) -> bool:
-        """Whether a request of this id is pending."""
+        """Whether a request with this id is pending."""
         return request_id in self._requests
 
     def __iter__(self) -> Iterator[PendingRequest]:
@@ -118,7 +118,7 @@
         return iter(self._requests.values())
 
     def get(self, request_id: str) -> PendingRequest | None:
-        """Return the request of this id, if it is pending."""
+        """Return the request with this id, or None if it is not pending."""
         return self._requests.get(request_id)
 
     def add(self, pending: PendingRequest) -> None:
@@ -126,25 +126,25 @@
         self._requests[pending.request_id] = pending
 
     def remove(self, pending: PendingRequest) -> bool:
-        """Remove a request; whether it was still there."""
+        """Remove a request; return whether it was still pending."""
         return self._requests.pop(pending.request_id, None) is not None
 
     def start_attempt(self, pending: PendingRequest, attempt: Attempt) -> None:
-        """Note an attempt that is started."""
+        """Record the start of an attempt."""
         pending.attempts.append(attempt)
         attempt.endpoint.in_flight += 1
         attempt.endpoint.last_attempt_at_ms = attempt.started_at_ms
         self.attempts_in_flight += 1
 
     def end_attempt(self, attempt: Attempt, never_ran: bool) -> None:
-        """Note the end of an attempt that is in flight."""
+        """Record the end of an attempt that is in flight."""
         attempt.is_in_flight = False
         attempt.may_have_run = not never_ran
         attempt.endpoint.in_flight -= 1
         self.attempts_in_flight -= 1
 
     def count_overdue(self, objective_fraction: float, now_ms: float) -> int:
-        """Return how many attempts in flight have taken over this part of their objective already."""
+        """Return how many attempts have been in flight for more than a fraction of their objective."""
         return sum(
             attempt.is_in_flight
             and now_ms - attempt.started_at_ms
--- a/api_gateway/decisions/rate_limited_log.py
+++ b/api_gateway/decisions/rate_limited_log.py
@@ -1,4 +1,4 @@
-"""Log lines of the decisions, limited for each event name."""
+"""Log lines of the decisions, rate limited by event name."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     """Writes at most one line for each event name in `MIN_INTERVAL_MS`.
 
     Args:
-        actions: Where log lines are added.
+        actions: List that actions are added to.
     """
 
     def __init__(self, actions: list[Action]) -> None:
@@ -20,12 +20,12 @@
         self._written_at_ms: dict[str, float] = {}
 
     def write(self, event: str, details: str, now_ms: float) -> None:
-        """Write a line `event details`, unless one of this event was written a short time ago.
+        """Write a line `event details`, unless a line of this event was written within `MIN_INTERVAL_MS`.
 
         Args:
-            event: Name of the event.
-            details: `key=value` pairs with units.
-            now_ms: The time of the line.
+            event: Name of the log event.
+            details: `key=value` pairs, with units in the keys.
+            now_ms: The current time.
         """
         if now_ms - self._written_at_ms.get(event, NEVER_MS) >= MIN_INTERVAL_MS:
             self._written_at_ms[event] = now_ms
--- a/api_gateway/decisions/rejections.py
+++ b/api_gateway/decisions/rejections.py
@@ -1,4 +1,4 @@
-"""Answers that a request was not served and never ran."""
+"""Rejection of requests, with the time after which their clients should retry."""
 
 from __future__ import annotations
 
@@ -7,15 +7,17 @@
 from api_gateway.model.actions import Action, RejectRequest
 from api_gateway.model.results import RejectReason
 
-MIN_RETRY_AFTER_MS = SWEEP_INTERVAL_MS  # while all is admitted; the admitted fraction changes at each sweep
+# Retry-After while all requests are admitted. Since the admitted fraction changes at each sweep, an earlier
+# retry would meet the same decision.
+MIN_RETRY_AFTER_MS = SWEEP_INTERVAL_MS
 
 
 class Rejections:
-    """Rejects requests at once, and tells their clients when to come again (RFC 9110, section 10.2.3).
+    """Rejects requests with a Retry-After (RFC 9110, section 10.2.3).
 
     Args:
-        actions: Where the answers are added.
-        admission: Knows what part of the requests is admitted.
+        actions: List that actions are added to.
+        admission: Provides the admitted fraction; the smaller it is, the longer Retry-After.
         max_retry_after_ms: Longest Retry-After allowed; 0 for none.
     """
 
@@ -30,9 +32,10 @@
         """Reject a request.
 
         Args:
-            request_id: The request.
+            request_id: Id of the request.
             reason: Why it is rejected.
-            refill_ms: Time in which a quota refills by its units; Retry-After is longer while load is shed.
+            refill_ms: Time in which the tenant's quota refills by the units of the request; Retry-After is at
+                least this long, up to its maximum.
         """
         retry_after_ms = max(refill_ms, MIN_RETRY_AFTER_MS / self._admission.admitted_fraction)
         retry_after_ms = min(retry_after_ms, self._max_retry_after_ms)
--- a/api_gateway/decisions/request_flow.py
+++ b/api_gateway/decisions/request_flow.py
@@ -1,4 +1,4 @@
-"""The way of a request to its first attempt: quota, admission, ceiling, choice of an endpoint."""
+"""Processing of a request up to its first attempt: quota, admission, ceiling, selection of an endpoint."""
 
 from __future__ import annotations
 
@@ -20,31 +20,31 @@
 from api_gateway.model.results import CounterResult, RejectReason
 from api_gateway.model.settings import Plan, RequestClass, Settings
 
-OVER_QUOTA_OCCUPANCY_FRACTION = (
-    0.5  # part of the shedding threshold below which requests beyond a quota are admitted
-)
-MIN_SPARE_SWEEPS = 2  # sweeps that a request must have time for beside a counter call, to wait for a total
+# Requests over their quota are admitted below this fraction of the occupancy at which load shedding begins.
+OVER_QUOTA_OCCUPANCY_FRACTION = 0.5
+# A request waits for a counter value only if this many sweeps fit in its time beyond the counter's timeout.
+MIN_SPARE_SWEEPS = 2
 
 
 class RequestFlow:
-    """Takes each request from its receipt to its first attempt, or rejects it.
+    """Starts the first attempt of each request, or rejects the request.
 
-    It asks the owners of quotas, admission and endpoints in turn, and keeps what it learns of how long
-    clients wait.
+    Checks the quota, admission and the ceiling, and selects an endpoint. Also records the times that requests
+    have remaining, to tell how long their clients have spent on earlier requests.
 
     Args:
         settings: The gateway's settings.
-        attempt_flow: Takes a request with attempts to its answer.
-        rejections: Answers that a request was not served.
-        pending_requests: The requests with attempts.
+        attempt_flow: Starts and retries attempts.
+        rejections: Rejects requests.
+        pending_requests: Requests with attempts.
         tenants: The tenants.
-        usage_reporter: Makes the counter calls.
-        admission: Sheds load.
+        usage_reporter: Calls the counter service.
+        admission: Decides which requests are shed.
         endpoint_table: All endpoints.
-        endpoint_selector: Chooses among them.
-        retry_budget: Earns retries.
-        probe_budget: Earns probes of ejected endpoints.
-        traffic: The gateway's rates.
+        endpoint_selector: Selects an endpoint.
+        retry_budget: Token bucket of retries.
+        probe_budget: Token bucket of probes of ejected endpoints.
+        traffic: Rates of the gateway's traffic.
         latency: Typical latencies of the classes.
     """
 
@@ -135,14 +135,14 @@
     def _objective_at_ms(
         self, request: RequestReceived, request_class: RequestClass, deadline_at_ms: float, now_ms: float
     ) -> float:
-        """Return when an answer becomes worthless: at the deadline if late answers have any weight."""
+        """Return when a response loses all weight: at the deadline if late responses have a weight."""
         if request_class.late_priority_weight > 0:
             return deadline_at_ms
         spent_ms = self._spent_time.spent_ms(request, request_class)
         return min(now_ms + request_class.latency_objective_ms - spent_ms, deadline_at_ms)
 
     def _find_tenant(self, request: RequestReceived, plan: Plan, now_ms: float) -> Tenant | None:
-        """Return a request's tenant with its quota window up to date; None if no more can be known."""
+        """Return the tenant of a request, with its current quota window; None if the table is full."""
         tenant = self._tenants.find_or_create(request, plan, now_ms)
         if tenant is None:
             return None
@@ -162,8 +162,8 @@
 
         Args:
             pending: The request.
-            now_ms: The time now.
-            is_admitted: Whether admission control has admitted it already.
+            now_ms: The current time.
+            is_admitted: Whether admission control has already admitted it.
         """
         violation = self._quota_violation(pending, now_ms)
         reason = self._rejection_reason(pending, violation, now_ms, is_admitted=is_admitted)
@@ -175,7 +175,7 @@
     def _rejection_reason(
         self, pending: PendingRequest, violation: RejectReason | None, now_ms: float, *, is_admitted: bool
     ) -> RejectReason | None:
-        """Return what keeps a request from being forwarded: its quota, load shedding or the ceiling."""
+        """Return why a request must not be forwarded (its quota, load shedding or ceiling), or None."""
         if violation is not None and not self._may_be_served_over_quota(pending.tenant.plan):
             return violation
         if violation is None and not is_admitted and not self._is_admitted(pending):
@@ -185,7 +185,7 @@
         return None
 
     def _quota_violation(self, pending: PendingRequest, now_ms: float) -> RejectReason | None:
-        """Return which limit of its quota a request goes beyond, if any."""
+        """Return which limit of its quota a request exceeds, or None."""
         tenant = pending.tenant
         if tenant.is_at_concurrency_limit():
             return RejectReason.CONCURRENCY_LIMIT
@@ -194,13 +194,13 @@
         return None
 
     def _may_be_served_over_quota(self, plan: Plan) -> bool:
-        """Whether requests beyond a quota are worth their cost, and the back end has capacity to spare."""
+        """Whether requests over the quota are worth their cost, and the back end has spare capacity."""
         threshold = OVER_QUOTA_OCCUPANCY_FRACTION * MIN_SHED_OCCUPANCY
         is_worthwhile = plan.over_quota_weight > plan.over_quota_cost
         return is_worthwhile and self._admission.occupancy.smoothed < threshold
 
     def _is_admitted(self, pending: PendingRequest) -> bool:
-        """Ask admission control for one request."""
+        """Whether admission control admits the request; must be called once for each request."""
         per_unit_ms = self._latency.per_unit_ms(pending.class_name)
         return self._admission.admit(pending.request_class, pending.tenant.plan, per_unit_ms, pending.units)
 
@@ -209,7 +209,7 @@
         return tenant.ceiling.admits(pending.units, tenant.quota.gateway_count, now_ms)
 
     def _forward(self, pending: PendingRequest, now_ms: float, *, is_over_quota: bool) -> RejectReason | None:
-        """Send an admitted request to an endpoint; return why it cannot be sent, if so."""
+        """Start the first attempt of an admitted request; return why that is impossible, or None."""
         pending.work_ms = self._latency.per_unit_ms(pending.class_name) * max(pending.units, 0.0)
         self._traffic.record_admitted(pending.work_ms)
         if pending.objective_at_ms <= now_ms:
@@ -230,7 +230,7 @@
         return None
 
     def record_counter_reply(self, reply: CounterReply, now_ms: float) -> None:
-        """Take in the end of a counter call, and decide on the requests that waited for it."""
+        """Record the end of a counter call, and decide on the requests that waited for it."""
         tenant = self._usage_reporter.record_reply(reply, now_ms)
         if tenant is None:
             return
@@ -239,7 +239,7 @@
             self._usage_reporter.report(tenant, now_ms)
 
     def decide_overdue(self, now_ms: float) -> None:
-        """Decide on the requests that wait for replies that do not come."""
+        """Decide on the requests that have waited too long for a counter reply."""
         for tenant in self._usage_reporter.abandon_overdue_calls(self._reply_timeout_ms, now_ms):
             self._decide_waiting(tenant, now_ms)
 
@@ -248,7 +248,7 @@
             self._decide(pending, now_ms, is_admitted=True)
 
     def record_client_disconnect(self, event: ClientDisconnected) -> None:
-        """Finish a request that nobody waits for any more."""
+        """Finish a request whose client has disconnected."""
         self._usage_reporter.stop_waiting(event.request_id)
         pending = self._pending_requests.get(event.request_id)
         if pending is not None:
@@ -257,7 +257,7 @@
     def _reject_without_attempt(
         self, pending: PendingRequest, reason: RejectReason, *, is_over_quota: bool
     ) -> None:
-        """Reject a request with no attempt; beyond a quota it may come again when its units have refilled."""
+        """Reject a request without an attempt; over the quota, Retry-After covers the refill of its units."""
         rate = pending.tenant.plan.quota_rate
         refill_ms = 1000 * pending.units / rate if is_over_quota and rate else 0.0
         self._rejections.reject(pending.request_id, reason, refill_ms)
--- a/api_gateway/decisions/retry.py
+++ b/api_gateway/decisions/retry.py
@@ -1,4 +1,4 @@
-"""When a request may be attempted, and whether a further attempt is worth its cost."""
+"""Rules on attempts: whether one is allowed, how long it may take, and whether a retry is worthwhile."""
 
 from __future__ import annotations
 
@@ -13,9 +13,10 @@
 from api_gateway.model.results import AttemptResult
 from api_gateway.model.settings import Idempotency, KeyScope, Settings
 
-RETRIES_PER_REQUEST = 0.2  # retries earned by each admitted request
+RETRIES_PER_REQUEST = 0.2  # tokens that each admitted request adds to the retry budget
 MAX_SAVED_RETRIES = 10.0
-MAX_LOST_RESPONSE_RATIO = 0.06  # above which an attempt that may be repeated gets a shorter timeout
+# With a higher ratio of lost responses, attempts that may be retried get a shorter timeout.
+MAX_LOST_RESPONSE_RATIO = 0.06
 MIN_TIMEOUT_MS = 1.0
 MIN_EXPECTED_LATENCY_MS = 1e-6
 
@@ -31,31 +32,31 @@
 
 
 class RetryBudget:
-    """Token bucket of retries, so that retries cannot multiply an overload."""
+    """Token bucket of retries, which keeps retries from amplifying an overload."""
 
     def __init__(self) -> None:
         self.tokens = MAX_SAVED_RETRIES
 
     def earn(self) -> None:
-        """Add what one admitted request earns."""
+        """Add the tokens for one admitted request."""
         self.tokens = min(self.tokens + RETRIES_PER_REQUEST, MAX_SAVED_RETRIES)
 
     def covers(self, cost: float) -> bool:
-        """Whether a retry of this cost may be made."""
+        """Whether there are enough tokens for a retry of this cost."""
         return self.tokens >= cost
 
     def spend(self, cost: float) -> None:
-        """Take the cost of a retry."""
+        """Remove the tokens for a retry."""
         self.tokens -= cost
 
 
 class RetryPolicy:
-    """The rules on attempts: where one is allowed, how long it may take, and when another one follows.
+    """Decides whether and where a request may be attempted, and with which timeouts.
 
     Args:
         settings: The gateway's settings.
         latency: Typical latencies of the classes.
-        occupancy: The occupancy of the back end, which knows of lost responses.
+        occupancy: Occupancy of the back end, with the ratio of lost responses.
     """
 
     def __init__(self, settings: Settings, latency: TypicalLatency, occupancy: Occupancy) -> None:
@@ -67,8 +68,9 @@
     def is_attempt_allowed(self, pending: PendingRequest, endpoint: EndpointState, now_ms: float) -> bool:
         """Whether a request may be sent to an endpoint now.
 
-        Not to one that drains, not beyond the number of attempts, not beside an attempt in flight unless
-        hedging is allowed, and not again after it may have run unless its class allows that there and then.
+        The endpoint must be up and the request unfinished, with fewer attempts than the maximum. Without
+        hedging, no other attempt may be in flight. After an attempt that may have run, the class must allow a
+        retry at this endpoint and time.
         """
         settings = self._settings
         if not endpoint.is_up or len(pending.attempts) >= settings.max_attempts:
@@ -82,7 +84,7 @@
         return self._may_run_again(pending, endpoint, now_ms)
 
     def _may_run_again(self, pending: PendingRequest, endpoint: EndpointState, now_ms: float) -> bool:
-        """Whether the class allows another attempt at an endpoint (RFC 9110, section 9.2.2)."""
+        """Whether the class allows a further attempt at this endpoint (RFC 9110, section 9.2.2)."""
         request_class = pending.request_class
         earlier = [attempt for attempt in pending.attempts if attempt.may_have_run]
         if not earlier or request_class.idempotency is Idempotency.IDEMPOTENT:
@@ -96,12 +98,12 @@
         return all(_is_in_key_scope(endpoint, attempt, scope) for attempt in earlier)
 
     def write_timeout_ms(self, pending: PendingRequest, now_ms: float) -> float:
-        """Return how long an attempt of a request may still be written.
+        """Return the remaining time in which an attempt of a request may be written.
 
-        The idempotency window runs from the decision on the first attempt that may have run.
+        The idempotency window starts with the decision on the first attempt that may have run.
 
         Returns:
-            Milliseconds from now; infinite where no window binds, negative where it is over.
+            Milliseconds from now; infinite if no window applies, negative if it has ended.
         """
         request_class = pending.request_class
         if request_class.idempotency is not Idempotency.WITH_KEY:
@@ -113,7 +115,7 @@
         return math.inf
 
     def attempt_action(self, pending: PendingRequest, endpoint: EndpointState, now_ms: float) -> StartAttempt:
-        """Return the action that sends a request to an endpoint."""
+        """Return the action that starts an attempt of a request at an endpoint."""
         return StartAttempt(
             request_id=pending.request_id,
             endpoint=endpoint.name,
@@ -122,7 +124,7 @@
         )
 
     def _timeout_ms(self, pending: PendingRequest, now_ms: float) -> float:
-        """Return how long an attempt may take: until its answer is worthless, less if responses get lost."""
+        """Return the time until a response loses all weight, or less while responses get lost."""
         tick_ms = self._settings.clock_tick_ms
         timeout_ms = max(
             pending.objective_at_ms - now_ms - tick_ms, min(MIN_TIMEOUT_MS, pending.deadline_at_ms - now_ms)
@@ -137,7 +139,7 @@
         return short_timeout_ms if short_timeout_ms + expected_latency_ms < timeout_ms else timeout_ms
 
     def _may_retry_next_attempt(self, pending: PendingRequest) -> bool:
-        """Whether a further attempt after the next one is allowed and paid for."""
+        """Whether the class, the retry budget and the limit on attempts allow a retry of the next attempt."""
         return (
             pending.request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
             and self.budget.covers(1)
@@ -145,13 +147,13 @@
         )
 
     def retry_cost(self, pending: PendingRequest, event: AttemptEnded) -> float:
-        """Return what a retry costs: the part of a request's work that the last attempt has used up."""
+        """Return the cost of a retry: the fraction of the request's work that the last attempt has used."""
         if event.result not in CONNECTION_FAILURES:
             return 1.0
         return min(event.duration_ms / max(self._expected_latency_ms(pending), MIN_EXPECTED_LATENCY_MS), 1.0)
 
     def is_retry_worthwhile(self, pending: PendingRequest, cost: float, now_ms: float) -> bool:
-        """Whether a retry is paid for and can be answered in time."""
+        """Whether a retry is within the budget and can get a response in time."""
         needed_ms = max(self._expected_latency_ms(pending), 2 * self._settings.clock_tick_ms)
         return self.budget.covers(cost) and pending.objective_at_ms - now_ms > needed_ms
 
@@ -160,7 +162,7 @@
 
 
 def _is_in_key_scope(endpoint: EndpointState, attempt: Attempt, scope: KeyScope) -> bool:
-    """Whether an endpoint shares the memory of idempotency keys with that of an earlier attempt."""
+    """Whether an endpoint remembers the idempotency keys of an earlier attempt's endpoint."""
     if scope is KeyScope.ALL:
         return True
     if attempt.endpoint.zone != endpoint.zone:
--- a/api_gateway/decisions/ring.py
+++ b/api_gateway/decisions/ring.py
@@ -1,8 +1,8 @@
-"""A ring of endpoints on which all gateways agree without talking: a deterministic aperture.
+"""Ring of endpoints and gateways that all gateways compute alike without communication.
 
-Endpoints and gateways lie on one ring. A gateway works with the endpoints that follow its own position, so
-that its work costs the same with 50 endpoints and with 11,000, and no two gateways choose the same few by
-chance.
+Each gateway sends its requests to the endpoints that follow its own position on the ring. A decision
+therefore costs the same with 50 endpoints as with 11,000, and gateways do not select the same few endpoints
+by chance.
 
 Source: the rings of Finagle's deterministic aperture, as described in its public documentation.
 """
@@ -23,11 +23,12 @@
 def gateway_position(gateway_index: int, fleet_size: int) -> float:
     """Return the position of a gateway on the ring; the positions of a fleet are evenly spaced.
 
-    Gateways with adjacent numbers lie far apart, since they serve the same tenants and are busy together.
+    Gateways with adjacent indexes are placed far apart, since they serve the same tenants and are busy at the
+    same times.
 
     Args:
-        gateway_index: Number of the gateway, from 0.
-        fleet_size: Gateways in the fleet.
+        gateway_index: Index of the gateway, from 0.
+        fleet_size: Number of gateways in the fleet.
 
     Returns:
         A position, 0 <= position < 1.
@@ -40,15 +41,16 @@
 
 @lru_cache(maxsize=16384)
 def stable_hash(text: str) -> int:
-    """Return a hash of `HASH_BITS` bits that is the same in every process."""
+    """Return a hash of `HASH_BITS` bits that does not depend on the process."""
     return int.from_bytes(hashlib.blake2s(text.encode(), digest_size=HASH_BITS // 8).digest(), "big")
 
 
 class Ring:
-    """Endpoints in an order that follows from their names alone, zones interleaved in proportion.
+    """Endpoints in an order that depends on their names and zones alone, with the zones interleaved.
 
-    The position of an endpoint is its rank among those of its zone, so positions are even whatever the hashes
-    are; one that is added or removed moves each of the others by one rank at most.
+    The position of an endpoint is its rank within its zone, by the hash of its name. Positions are therefore
+    evenly spaced whatever the hashes are, and adding or removing an endpoint moves any other by at most one
+    rank.
     """
 
     def __init__(self) -> None:
@@ -59,11 +61,11 @@
         return sum(map(len, self._zones.values()))
 
     def add(self, name: str, zone: str) -> None:
-        """Add an endpoint that is not on the ring."""
+        """Add an endpoint, which must not be on the ring."""
         insort(self._zones.setdefault(zone, []), (stable_hash(name), name))
 
     def remove(self, name: str, zone: str) -> None:
-        """Remove an endpoint that is on the ring."""
+        """Remove an endpoint, which must be on the ring."""
         endpoints = self._zones[zone]
         del endpoints[bisect_left(endpoints, (stable_hash(name), name))]
         if not endpoints:
@@ -77,9 +79,8 @@
         """
         heads = []
         for zone, endpoints in self._zones.items():
-            phase = (
-                stable_hash(zone) / 2**HASH_BITS
-            )  # else the first endpoints of all zones would be adjacent
+            # Without a phase, the first endpoints of all zones would be adjacent.
+            phase = stable_hash(zone) / 2**HASH_BITS
             first = math.ceil(start * len(endpoints) - phase)
             heads.append(((first + phase) / len(endpoints), zone, phase, first, first + len(endpoints)))
         heapq.heapify(heads)
--- a/api_gateway/decisions/selection.py
+++ b/api_gateway/decisions/selection.py
@@ -1,4 +1,4 @@
-"""The choice of an endpoint for one attempt."""
+"""Selection of an endpoint for one attempt."""
 
 from __future__ import annotations
 
@@ -14,25 +14,26 @@
 from api_gateway.decisions.subset_sizing import SubsetSizer
 from api_gateway.model.settings import Idempotency
 
-CONNECT_PENALTY = 1.7  # load factor of an endpoint that needs a new connection, while traffic is sparse
-RETRY_PENALTY = 4  # load factor of an endpoint that the request was sent to before
-LATENCY_EXPONENT = 0.5  # latency is partly noise: in full it would send all gateways to one endpoint
+CONNECT_PENALTY = 1.7  # factor on the load score of an endpoint that needs a new connection in sparse traffic
+RETRY_PENALTY = 4  # factor on the load score of an endpoint that the request has been sent to before
+# Latency is partly noise; with an exponent of 1 all gateways would select the same endpoint.
+LATENCY_EXPONENT = 0.5
 TIE_BREAK_BASE = 1.3
-TIE_BREAK_WEIGHT = 0.1  # of the random part, and of each visit interval since the last attempt
+TIE_BREAK_WEIGHT = 0.1  # weight of the random term, and of each visit interval since the last attempt
 MAX_COUNTED_INTERVALS = 3.0
 
 
 class EndpointSelector:
-    """Chooses among the endpoints of the subset.
+    """Selects an endpoint, mostly from the subset of this gateway.
 
     Args:
         endpoint_table: All endpoints.
-        subset: Those that the gateway works with.
-        subset_sizer: Knows whether the traffic keeps connections open.
-        slow_start: Decides what an endpoint that is warming up may be sent.
+        subset: Endpoints of this gateway's subset.
+        subset_sizer: Tells whether traffic is too sparse to keep connections open.
+        slow_start: Budgets of the endpoints in slow start.
         retry_policy: Decides where an attempt is allowed.
-        probe_budget: Pays for probes of ejected endpoints.
-        rng: Source of the draws that break ties.
+        probe_budget: Token bucket of probes of ejected endpoints.
+        rng: Source of the random draws that break ties.
     """
 
     def __init__(
@@ -54,14 +55,18 @@
         self._rng = rng
 
     def select(self, pending: PendingRequest, now_ms: float) -> EndpointState | None:
-        """Choose the endpoint of a request's next attempt.
+        """Select the endpoint of a request's next attempt.
 
-        In this order: one that is warming up, while its budget lasts; an ejected one that is due for a probe;
-        the least loaded warm one; for a retry, one that shares the memory of idempotency keys; the ejected
-        one whose ejection ends first.
+        Takes the first that exists of:
+
+        1. an endpoint in slow start that has budget for the request,
+        2. an ejected endpoint that is due for a probe,
+        3. the least loaded warm endpoint,
+        4. for a retry, the least loaded endpoint in a failure domain that was tried before,
+        5. the ejected endpoint that is due for a probe next.
 
         Returns:
-            The endpoint, or None if none may be sent the request.
+            The endpoint, or None if no endpoint may be sent the request.
         """
         subset = self._subset.refresh(now_ms)
         tried_endpoints = [attempt.endpoint for attempt in pending.attempts]
@@ -90,7 +95,7 @@
     def _select_for_probe(
         self, pending: PendingRequest, tried_endpoints: list[EndpointState], now_ms: float
     ) -> EndpointState | None:
-        """Choose an ejected endpoint whose backoff is over, for the first attempt of an idempotent one."""
+        """Select an ejected endpoint whose backoff has passed, for a first attempt that is idempotent."""
         is_idempotent = pending.request_class.idempotency is Idempotency.IDEMPOTENT
         if not is_idempotent or pending.attempts or not self._probe_budget.has_token():
             return None
@@ -108,7 +113,7 @@
     def _endpoints_sharing_keys(
         self, pending: PendingRequest, tried_endpoints: list[EndpointState], now_ms: float
     ) -> list[EndpointState]:
-        """Return the endpoints in the failure domains of earlier attempts, in the subset or not."""
+        """Return the endpoints in the failure domains of earlier attempts, whether or not in the subset."""
         return [
             endpoint
             for earlier in tried_endpoints
@@ -119,7 +124,7 @@
     def _select_next_probe_due(
         self, pending: PendingRequest, tried_endpoints: list[EndpointState], now_ms: float
     ) -> EndpointState | None:
-        """Choose the ejected endpoint that is due for a probe first."""
+        """Select the ejected endpoint whose backoff ends first."""
         ejected = [
             endpoint
             for endpoint in self._subset.ejected
@@ -138,9 +143,10 @@
         endpoints: Iterable[EndpointState],
         now_ms: float,
     ) -> EndpointState | None:
-        """Choose the least loaded of some warm endpoints; among equals the one not visited for longest.
+        """Select the least loaded of the given warm endpoints, preferring those without a recent attempt.
 
-        No zone is preferred: where traffic comes mostly from one, its endpoints alone would bear it.
+        The gateway's own zone is not preferred: if most traffic came from one zone, its endpoints would carry
+        nearly all of the load.
         """
         best: EndpointState | None = None
         best_score = 0.0
@@ -157,10 +163,10 @@
         return best
 
     def _score(self, endpoint: EndpointState, now_ms: float) -> float:
-        """Return the load of an endpoint: attempts in flight, latency and weight, with ties broken in turn.
+        """Return the load score of an endpoint: attempts in flight, times latency, divided by weight.
 
-        Visits in turn keep connections open to all endpoints alike, and give one that was slow by chance
-        another request.
+        Ties are broken at random and by the time since the last attempt. Visiting the endpoints in turn keeps
+        connections to all of them open, and gives an endpoint that was slow by chance another request.
         """
         slowness: float = endpoint.latency_ratio**LATENCY_EXPONENT
         score = (endpoint.in_flight + 1) * slowness / endpoint.weight
--- a/api_gateway/decisions/slow_start.py
+++ b/api_gateway/decisions/slow_start.py
@@ -1,9 +1,12 @@
-"""Slow start: an endpoint that has just started gets no more work than it can bear while it warms up.
+"""Slow start: limits the work sent to an endpoint that has just started to what it can serve.
 
-Its budget is a token bucket of work. The measure is what this gateway itself sends to a warm endpoint, so
-that the budgets of all gateways add up to what the fleet sends to one, times the capacity that the endpoint
-has.
-Gateways with no such measure yet send single requests in time slots, in turn by the clock that all share.
+Work is measured in milliseconds of typical latency. Each gateway has a token bucket of work for each endpoint
+in slow start. Its refill rate follows the rate of work that this gateway sends to a warm endpoint, times the
+fraction of capacity that the endpoint already has; so the budgets of all gateways add up to that fraction of
+what the fleet sends to a warm endpoint.
+
+A gateway that has not measured a rate yet sends single requests in time slots, which the gateways take in
+turn by their common clock.
 """
 
 from __future__ import annotations
@@ -20,23 +23,22 @@
 from api_gateway.decisions.uptime import Uptime
 from api_gateway.model.settings import Settings
 
-BUDGET_SAFETY_FACTOR = (
-    0.5  # part of the budget in use: capacity is estimated, and other gateways may send more
-)
+# Fraction of the budget that is used: capacity is an estimate, and other gateways may send more.
+BUDGET_SAFETY_FACTOR = 0.5
 MIN_CAPACITY_FRACTION = 0.01
 
 
 class SlowStart:
-    """Decides what an endpoint that is warming up may be sent.
+    """Decides whether an endpoint in slow start may be sent a request.
 
     Args:
         settings: The gateway's settings.
         endpoint_table: All endpoints.
-        subset: Those that the gateway works with.
-        traffic: The gateway's rates.
+        subset: Endpoints of this gateway's subset.
+        traffic: Rates of the gateway's traffic.
         latency: Typical latencies of the classes.
-        uptime: How long the gateway has been up.
-        rng: Source of the draws that round budgets below one request.
+        uptime: Time since the gateway's start.
+        rng: Source of the random draws that round budgets below one request.
     """
 
     def __init__(
@@ -58,7 +60,7 @@
         self._rng = rng
 
     def capacity_fraction(self, endpoint: EndpointState, now_ms: float) -> float:
-        """Return the least part of its capacity that an endpoint has by now, 0 to 1."""
+        """Return the fraction of its capacity that an endpoint has by now at least, from 0 to 1."""
         settings = self._settings
         age_ms = now_ms - endpoint.slow_start_began_at_ms
         if (
@@ -71,14 +73,15 @@
         return min_fraction + (1 - min_fraction) * max(age_ms, 0.0) / settings.slow_start_ms
 
     def admits(self, endpoint: EndpointState, work_ms: float, now_ms: float) -> bool:
-        """Refill the budget of an endpoint, and decide whether it may be sent a request.
+        """Refill the budget of an endpoint, and return whether it may be sent a request.
 
-        A budget below the request is rounded by a random draw; a time slot that is used is taken.
+        If the budget is less than the request's work, a random draw sets it to either 0 or that work. Where
+        time slots apply, the current slot is used up.
 
         Args:
-            endpoint: The endpoint, warming up or not.
+            endpoint: The endpoint, in slow start or not.
             work_ms: Typical latency of the request, in milliseconds.
-            now_ms: The time now.
+            now_ms: The current time.
         """
         fraction = self.capacity_fraction(endpoint, now_ms)
         if fraction >= 1:
@@ -90,18 +93,18 @@
         return endpoint.slow_start_budget >= work_ms
 
     def record_attempt(self, endpoint: EndpointState, work_ms: float, now_ms: float) -> None:
-        """Charge an attempt to the budget of an endpoint, or to the rate of the warm ones."""
+        """Charge an attempt to the endpoint's budget, or add it to the work of the warm endpoints."""
         if self.capacity_fraction(endpoint, now_ms) < 1:
             endpoint.slow_start_budget -= work_ms
         else:
             self._traffic.record_warm_work(work_ms)
 
     def _refill(self, endpoint: EndpointState, fraction: float, now_ms: float) -> None:
-        """Refill the budget of an endpoint up to now.
+        """Refill the budget of an endpoint.
 
-        Where most endpoints are warming up, the warm ones are sent more than any can bear until their latency
-        shows it. So the budget is bounded by what an endpoint would get if all were warm: its part of the
-        work admitted, whether or not it was sent.
+        While most endpoints are in slow start, the warm ones are sent more than an endpoint can serve, until
+        their latency shows it. The refill rate is therefore limited to the work that each endpoint of the
+        subset would get if all were warm: an equal share of the admitted work, whether or not it was sent.
         """
         safety_factor = BUDGET_SAFETY_FACTOR * self._settings.overload_multiple
         rate = safety_factor * self._traffic.admitted_work_rate / max(len(self._subset), 1)
@@ -114,10 +117,11 @@
         endpoint.slow_start_budget_at_ms = now_ms
 
     def _claim_time_slot(self, endpoint: EndpointState, fraction: float, now_ms: float) -> bool:
-        """Take the time slot of an endpoint, if it is this gateway's and was not taken before.
+        """Use up the current time slot of an endpoint if it is this gateway's; return whether that succeeded.
 
-        One request at a time is what any endpoint can bear, so a slot is as long as it takes at its present
-        capacity. Lengths are powers of two: with other lengths the slots of the gateways would overlap.
+        Any endpoint can serve one request at a time, so a slot lasts as long as a request at the endpoint's
+        current capacity. Its length is rounded up to a power of two; with other lengths, slots of different
+        gateways would overlap.
         """
         longest_latency_ms = max(self._latency.slowest_ms() / max(fraction, MIN_CAPACITY_FRACTION), 1.0)
         slot_length_ms = 2.0 ** math.ceil(math.log2(longest_latency_ms))
--- a/api_gateway/decisions/subset.py
+++ b/api_gateway/decisions/subset.py
@@ -1,6 +1,7 @@
-"""The endpoints that this gateway works with: those that follow its position on the ring.
+"""Subset of the endpoints that one gateway sends requests to: those that follow its position on the ring.
 
-As many warm endpoints as the subset's size, and the endpoints between them that are warming up or ejected.
+It contains as many warm endpoints as its target size, and the endpoints between them on the ring that are in
+slow start or ejected.
 """
 
 from __future__ import annotations
@@ -14,30 +15,32 @@
 from api_gateway.decisions.ring import gateway_position
 from api_gateway.model.settings import Settings
 
-TARGET_VISIT_INTERVAL_MS = 500.0  # a subset is so large that each endpoint gets one request in this time
+TARGET_VISIT_INTERVAL_MS = 500.0  # the subset is sized for one request to each endpoint in this time
 MIN_SUBSET_SIZE = 6
 MAX_SUBSET_SIZE = 256
-MIN_RESIZE_FACTOR = 1.25  # least change of the size: each change costs connections
-MAX_CANDIDATES = 32  # endpoints compared for one request: the best of so many is as good as the best of all
-MAX_WALK_FACTOR = 8  # endpoints examined on the ring, in multiples of the size
-MAX_WALK_EXTRA = 64  # and so many more
-MAX_WARMING_UP_FACTOR = 2  # endpoints that are warming up, in multiples of the size
+MIN_RESIZE_FACTOR = 1.25  # smaller changes of the size are ignored, since each change costs connections
+MAX_CANDIDATES = 32  # endpoints compared for one request; the best of 32 is about as good as the best of all
+# The walk on the ring ends after MAX_WALK_FACTOR * target size + MAX_WALK_EXTRA endpoints, unless all of them
+# are ejected.
+MAX_WALK_FACTOR = 8
+MAX_WALK_EXTRA = 64
+MAX_WARMING_UP_FACTOR = 2  # most endpoints in slow start, as a multiple of the target size
 
 
 class EndpointSubset:
-    """The endpoints that this gateway works with, brought up to date when something changes.
+    """The endpoints that one gateway sends requests to.
 
     Args:
         endpoint_table: All endpoints.
         settings: The gateway's settings.
-        rng: Source of the draws that spread the first visits to endpoints that have become warm.
+        rng: Source of the random draws that spread the first visits to endpoints that have become warm.
 
     Attributes:
-        target_size: How many warm endpoints are wanted.
-        visit_interval_ms: Time in which each of its endpoints is visited once.
-        warm: Endpoints at their whole capacity that are not ejected.
-        warming_up: Endpoints in slow start.
-        ejected: Endpoints that are ejected.
+        target_size: Number of warm endpoints to select.
+        visit_interval_ms: Time in which each endpoint gets one request on average.
+        warm: Endpoints at full capacity that are not ejected.
+        warming_up: Endpoints in slow start that are not ejected.
+        ejected: Ejected endpoints.
     """
 
     def __init__(self, endpoint_table: EndpointTable, settings: Settings, rng: Random) -> None:
@@ -54,7 +57,7 @@
         self._candidates_start = 0
         self._warming_up_start = 0
         self._is_resized = False
-        self._revision = -1  # of the table, when the subset was brought up to date
+        self._revision = -1  # revision of the endpoint table at the last update of the subset
 
     def __len__(self) -> int:
         """Return the number of endpoints in the subset."""
@@ -65,7 +68,7 @@
         return chain(self.warm, self.warming_up, self.ejected)
 
     def resize(self, target_size: float) -> None:
-        """Set the number of warm endpoints; small changes are left out, since each one costs connections."""
+        """Set the target size, within its limits; ignore small changes, since each one costs connections."""
         target_size = min(max(target_size, MIN_SUBSET_SIZE), MAX_SUBSET_SIZE)
         is_large_change = (
             target_size > MIN_RESIZE_FACTOR * self.target_size
@@ -76,7 +79,7 @@
             self.target_size = target_size
 
     def refresh(self, now_ms: float) -> EndpointSubset:
-        """Bring the subset up to date, if anything has changed or an endpoint has become warm.
+        """Select the endpoints anew if the table or the size has changed, or an endpoint has become warm.
 
         Returns:
             The subset itself.
@@ -90,7 +93,7 @@
         return self
 
     def _select(self, now_ms: float) -> None:
-        """Walk the ring from this gateway's position, until there are enough warm endpoints."""
+        """Walk the ring from this gateway's position until there are enough warm endpoints."""
         previously_warm = set(self.warm)
         warm: list[EndpointState] = []
         warming_up: list[EndpointState] = []
@@ -117,19 +120,19 @@
         self.warm, self.warming_up, self.ejected = warm, warming_up, ejected
 
     def _spread_first_visit(self, endpoint: EndpointState, now_ms: float) -> None:
-        """Pretend a recent visit: all gateways find an endpoint warm at once, and would all choose it."""
+        """Set a random recent visit, since all gateways would select an endpoint as soon as it is warm."""
         pretended_at_ms = now_ms - self._rng.random() * self.visit_interval_ms
         endpoint.last_attempt_at_ms = max(endpoint.last_attempt_at_ms, pretended_at_ms)
 
     def candidates(self) -> list[EndpointState]:
-        """Return the warm endpoints to compare for one request; others the next time."""
+        """Return the warm endpoints to compare for one request, in rotation if there are many."""
         if len(self.warm) <= MAX_CANDIDATES:
             return self.warm
         start = self._candidates_start = (self._candidates_start + MAX_CANDIDATES) % len(self.warm)
         return (self.warm + self.warm[:MAX_CANDIDATES])[start : start + MAX_CANDIDATES]
 
     def warming_up_candidates(self) -> list[EndpointState]:
-        """Return the endpoints in slow start to consider for one request, from another one on each time."""
+        """Return the endpoints in slow start to consider for one request, in rotation."""
         count = len(self.warming_up)
         start = self._warming_up_start = (self._warming_up_start + 1) % count
         return [self.warming_up[(start + i) % count] for i in range(min(MAX_CANDIDATES, count))]
--- a/api_gateway/decisions/subset_sizing.py
+++ b/api_gateway/decisions/subset_sizing.py
@@ -1,4 +1,4 @@
-"""How many endpoints this gateway works with."""
+"""Size of the endpoint subset, by the traffic of this gateway."""
 
 from __future__ import annotations
 
@@ -6,31 +6,33 @@
 from api_gateway.decisions.traffic import MIN_RATE, TrafficRates
 from api_gateway.model.settings import Settings
 
-TARGET_COVERAGE = 2.0  # gateways that work with each endpoint, where each visits it often enough
-SPARSE_VISIT_INTERVAL_MS = 1200.0  # that is, once in this time
-GROWTH_FACTOR = 1.02  # by which a subset under pressure grows at a sweep
-SHRINK_FACTOR = 0.99  # by which it falls back at a sweep
-MAX_SCALE = 4.0
-OVERLOADED_ADMITTED_FRACTION = 0.9  # admitted fraction below which the back end is under pressure
-MAX_VISIT_INTERVAL_FACTOR = 10  # longest visit interval, in multiples of the target
-REUSABLE_FRACTION_OF_IDLE_TIMEOUT = (
-    0.45  # part of the idle timeout for which a connection is taken to be open
-)
-MIN_VISITS_PER_CONNECTION = (
-    2.0  # in that time, below which a gateway keeps to endpoints with open connections
-)
+# Mean number of subsets that contain an endpoint, if each gateway visits the endpoints of its subset at least
+# once in SPARSE_VISIT_INTERVAL_MS.
+TARGET_COVERAGE = 2.0
+SPARSE_VISIT_INTERVAL_MS = 1200.0
+GROWTH_FACTOR = 1.02  # factor on the scale of the subset at each sweep while overloaded
+SHRINK_FACTOR = 0.99  # factor on the scale of the subset at each sweep while not overloaded
+MAX_SCALE = 4.0  # the scale multiplies the size that the traffic alone calls for
+OVERLOADED_ADMITTED_FRACTION = 0.9  # the back end counts as overloaded below this admitted fraction
+MAX_VISIT_INTERVAL_FACTOR = 10  # longest visit interval, as a multiple of the target
+# A connection that has been idle for up to this fraction of the idle timeout is assumed to be open.
+REUSABLE_FRACTION_OF_IDLE_TIMEOUT = 0.45
+# Traffic is sparse if an endpoint gets fewer requests than this while an idle connection stays reusable. The
+# gateway then prefers endpoints with open connections.
+MIN_VISITS_PER_CONNECTION = 2.0
 
 
 class SubsetSizer:
-    """Sizes the subset by the traffic of this gateway, larger while endpoints are overloaded or ejected.
+    """Sizes the subset by the traffic of this gateway, and enlarges it while the back end is overloaded.
 
     Args:
-        subset: What is sized.
+        subset: The subset to size.
         settings: The gateway's settings.
-        traffic: The gateway's rates.
+        traffic: Rates of the gateway's traffic.
 
     Attributes:
-        is_traffic_sparse: Whether the traffic keeps few connections open.
+        connection_reusable_ms: How long an idle connection is assumed to be open.
+        is_traffic_sparse: Whether traffic is too sparse to keep connections to the whole subset open.
     """
 
     def __init__(self, subset: EndpointSubset, settings: Settings, traffic: TrafficRates) -> None:
@@ -43,18 +45,18 @@
         self.is_traffic_sparse = True
 
     def sweep(self, ring_size: int, is_overloaded: bool) -> None:
-        """Size the subset anew.
+        """Update the size and the visit interval of the subset.
 
         Args:
-            ring_size: Endpoints that are up.
-            is_overloaded: Whether endpoints are overloaded or ejected, or hold much of this gateway's work.
+            ring_size: Number of endpoints that are up.
+            is_overloaded: Whether load is shed, most endpoints are ejected, or many attempts are in flight.
         """
         subset, attempt_rate = self._subset, self._traffic.attempt_rate
         if is_overloaded:
             self._scale = min(self._scale * GROWTH_FACTOR, MAX_SCALE)
         else:
             self._scale = max(self._scale * SHRINK_FACTOR, 1.0)
-        # Subsets smaller than this gateway's part of the ring would leave endpoints that nobody works with.
+        # With subsets smaller than a gateway's share of the ring, some endpoints would be in no subset.
         coverage = min(
             TARGET_COVERAGE * ring_size / self._fleet_size, attempt_rate * SPARSE_VISIT_INTERVAL_MS
         )
--- a/api_gateway/decisions/uptime.py
+++ b/api_gateway/decisions/uptime.py
@@ -1,4 +1,4 @@
-"""How long a gateway has been up, and the periodic sweep that shows whether it was stalled."""
+"""Time since the gateway's start, and the timer of the periodic sweep, which detects stalls."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 
 SWEEP_TIMER = "sweep"
 SWEEP_INTERVAL_MS = 100.0
-STALL_INTERVALS = 2.0  # a sweep that is overdue by so many intervals shows that the process was stalled
+STALL_INTERVALS = 2.0  # the process has stalled if a sweep is late by more than this many intervals
 
 
 class Uptime:
-    """When this gateway made its first decision."""
+    """Time since the first event that this gateway handled."""
 
     def __init__(self) -> None:
         self.started_at_ms: float | None = None
 
     def start(self, now_ms: float) -> None:
-        """Note the time of the first event."""
+        """Record the time of the first event."""
         self.started_at_ms = now_ms
 
     @property
     def has_started(self) -> bool:
-        """Whether any event has come."""
+        """Whether any event has been handled."""
         return self.started_at_ms is not None
 
     def age_ms(self, now_ms: float) -> float:
@@ -30,22 +30,26 @@
 
 
 class SweepTimer:
-    """Schedule of the periodic sweep; a sweep that comes late shows a stall of this process."""
+    """Timer of the periodic sweep, which detects stalls of the process by sweeps that are late.
+
+    Attributes:
+        stalled_at_ms: When the last stall was detected; negative before the first.
+    """
 
     def __init__(self) -> None:
         self._due_at_ms = 0.0
-        self.stalled_at_ms = -1.0  # when the last stall was noticed
+        self.stalled_at_ms = -1.0
 
     def restart(self, now_ms: float) -> StartTimer:
-        """Schedule the next sweep."""
+        """Schedule the next sweep, and return the action that starts its timer."""
         self._due_at_ms = now_ms + SWEEP_INTERVAL_MS
         return StartTimer(SWEEP_TIMER, SWEEP_INTERVAL_MS)
 
     def detect_stall(self, now_ms: float) -> None:
-        """Note whether the process was stalled: attempts in flight meanwhile tell nothing of the load."""
+        """Record a stall if the sweep is late; attempts in flight during a stall do not measure the load."""
         if now_ms > self._due_at_ms + STALL_INTERVALS * SWEEP_INTERVAL_MS:
             self.stalled_at_ms = now_ms
 
     def elapsed_ms(self, now_ms: float) -> float:
-        """Return the time since the last sweep, 1 ms at least."""
+        """Return the time since the last sweep, at least 1 ms."""
         return max(now_ms - self._due_at_ms + SWEEP_INTERVAL_MS, 1.0)
--- a/api_gateway/model/__init__.py
+++ b/api_gateway/model/__init__.py
@@ -1,4 +1,4 @@
-"""The vocabulary of the gateway: settings, events, actions and results, typed and free of decisions.
+"""Data types of the gateway's decisions: settings, events, actions and results.
 
-Every time is in milliseconds on the caller's clock, every amount of use in quota units.
+All times are in milliseconds of the caller's clock, all usage is in quota units.
 """
--- a/api_gateway/model/actions.py
+++ b/api_gateway/model/actions.py
@@ -1,4 +1,4 @@
-"""What a gateway does: the outputs of its decisions."""
+"""Actions: the outputs of the decisions, which the caller carries out."""
 
 from __future__ import annotations
 
@@ -10,13 +10,16 @@
 
 @dataclass(slots=True, frozen=True)
 class StartAttempt:
-    """Send a request to an endpoint; the attempts of a request are numbered 0, 1, 2... in their order.
+    """Send a request to an endpoint.
+
+    The attempts of a request are numbered 0, 1, 2... in the order of these actions.
 
     Attributes:
-        request_id: The request.
-        endpoint: Where it goes.
-        timeout_ms: When the answer is no longer waited for.
-        write_timeout_ms: Its last byte must be written within this time, or not at all.
+        request_id: Id of the request.
+        endpoint: Name of the endpoint.
+        timeout_ms: Time until the attempt ends without a response.
+        write_timeout_ms: Time within which the last byte must be written; afterwards the attempt must be
+            withdrawn. Infinite for no limit.
     """
 
     request_id: str
@@ -27,12 +30,12 @@
 
 @dataclass(slots=True, frozen=True)
 class RejectRequest:
-    """Answer that the request was not served and never ran: sending it again does no harm.
+    """Respond that a request was rejected without being run, so that the client may safely retry it.
 
     Attributes:
-        request_id: The request.
-        retry_after_ms: When the client should come again; 0 for no hint.
-        reason: Why it is rejected.
+        request_id: Id of the request.
+        retry_after_ms: Time after which the client should retry; 0 for no Retry-After.
+        reason: Why the request is rejected.
     """
 
     request_id: str
@@ -42,14 +45,14 @@
 
 @dataclass(slots=True, frozen=True)
 class FailRequest:
-    """Answer that the request failed; whether it ran is not known."""
+    """Respond that a request failed; it may have run."""
 
     request_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class CancelAttempt:
-    """Stop waiting for one attempt."""
+    """Cancel one attempt of a request, by its number; its `AttemptEnded` still follows."""
 
     request_id: str
     attempt: int
@@ -57,7 +60,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StartTimer:
-    """Ask for a `TimerFired`."""
+    """Start a timer; a `TimerFired` of the same name follows after the delay."""
 
     name: str
     delay_ms: float
@@ -65,11 +68,11 @@
 
 @dataclass(slots=True, frozen=True)
 class IncrementCounter:
-    """Add an amount to a count of the counter service, and learn its total.
+    """Add an amount to a count of the counter service; its value comes back in a `CounterReply`.
 
     Attributes:
-        name: The count.
-        amount: What is added; 0 only reads the total.
+        name: Name of the count.
+        amount: Units to add; 0 only reads the counter value.
         ttl_ms: How long the counter keeps the count.
     """
 
@@ -80,12 +83,12 @@
 
 @dataclass(slots=True, frozen=True)
 class SubscribeToEndpoints:
-    """Ask discovery for the endpoint list and its changes."""
+    """Request the endpoint list and its changes from discovery."""
 
 
 @dataclass(slots=True, frozen=True)
 class WriteLog:
-    """Write a line for the people on call."""
+    """Write a log line for operators."""
 
     text: str
 
--- a/api_gateway/model/endpoints.py
+++ b/api_gateway/model/endpoints.py
@@ -1,4 +1,4 @@
-"""Entries of the endpoint list."""
+"""Entries and updates of the endpoint list."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class EndpointStatus(Enum):
-    """Whether an endpoint takes new requests."""
+    """Whether an endpoint accepts new requests."""
 
     UP = "up"
     DRAINING = "draining"
@@ -15,12 +15,12 @@
 
 
 class UpdateKind(Enum):
-    """What an update of the endpoint list holds."""
+    """What an update of the endpoint list contains."""
 
-    FULL = "full"  # every endpoint, from discovery
-    CACHED = "cached"  # every endpoint, as this gateway last had them
-    CHANGES = "changes"  # those that have changed
-    FAILED = "failed"  # none: the call to discovery failed
+    FULL = "full"  # all endpoints, from discovery
+    CACHED = "cached"  # all endpoints, from this gateway's cache
+    CHANGES = "changes"  # only the endpoints that have changed
+    FAILED = "failed"  # no endpoints, since the call to discovery failed
 
 
 @dataclass(slots=True, frozen=True)
@@ -28,12 +28,12 @@
     """One entry of the endpoint list.
 
     Attributes:
-        name: Its instance id.
-        zone: Where it stands.
+        name: Instance id of the endpoint.
+        zone: Zone that it runs in.
         failure_domain: Number of its failure domain within the zone.
-        status: Whether it takes new requests.
-        weight: Its capacity as a multiple of the usual one.
-        started_at_ms: When its process started; 0 for long ago.
+        status: Whether it accepts new requests.
+        weight: Its capacity as a multiple of the standard capacity.
+        started_at_ms: When its process started; 0 if that is long ago.
     """
 
     name: str
--- a/api_gateway/model/events.py
+++ b/api_gateway/model/events.py
@@ -1,4 +1,4 @@
-"""What happens to a gateway: the inputs of its decisions."""
+"""Events: the inputs of the decisions."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointUpdate:
-    """Occurs at the start with the cached list, and then with each answer of discovery."""
+    """Occurs at startup with the cached endpoint list, and then with each response of discovery."""
 
     kind: UpdateKind
     endpoints: tuple[Endpoint, ...] = ()
@@ -18,18 +18,18 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestReceived:
-    """Occurs when a client's request is complete; it is owed exactly one final answer.
+    """Occurs when a request has been read completely; it must get exactly one final response.
 
     Attributes:
-        request_id: Unique among the requests in flight.
-        class_name: Its request class.
-        plan_name: Its tenant's plan.
-        tenant: Who is charged for it.
-        time_left_ms: How long the client still waits.
+        request_id: Id that is unique among the requests in flight.
+        class_name: Name of its request class.
+        plan_name: Name of its tenant's plan.
+        tenant: Name of the tenant that is charged for it.
+        time_left_ms: Remaining time until the client's deadline.
         units: Its size in quota units, as estimated by the client.
-        gateway_count: Gateways that this tenant's requests may come through.
-        first_gateway: Number of the first of them.
-        is_retry: Whether the client has sent it before.
+        gateway_count: Number of gateways that the tenant's requests may come through.
+        first_gateway: Index of the first of these gateways.
+        is_retry: Whether the client has sent the same request before.
     """
 
     request_id: str
@@ -48,15 +48,15 @@
     """Occurs exactly once for each `StartAttempt`.
 
     Attributes:
-        request_id: The request that it was made for.
-        attempt: Its number within the request, from 0.
-        endpoint: Where it was sent.
+        request_id: Id of the request.
+        attempt: Number of the attempt within the request, from 0.
+        endpoint: Name of the endpoint that it was sent to.
         result: How it ended.
-        duration_ms: From its start to its end.
-        is_final: Whether the request has its final answer.
+        duration_ms: Time from its start to its end.
+        is_final: Whether the request has its final response.
         metered_usage_percent: 1 + the tenant's metered usage; 0 if not reported.
         actual_units: Units that the request used; 0 if not reported.
-        load_report: What the endpoint reported of its load, by name.
+        load_report: Load figures that the endpoint reported, by name.
     """
 
     request_id: str
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ResponseStarted:
-    """Occurs when a streamed answer begins: from then on the request belongs to this attempt."""
+    """Occurs when a streamed response begins; from then on, no other attempt may serve the request."""
 
     request_id: str
     attempt: int
@@ -80,14 +80,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """Occurs when the client has gone, or was answered without the decisions; nothing more is owed."""
+    """Occurs when the client has disconnected or has a response that was not decided on by an action."""
 
     request_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """Occurs when the time of a `StartTimer` is over."""
+    """Occurs when the delay of a `StartTimer` has passed."""
 
     name: str
 
@@ -97,10 +97,10 @@
     """Occurs exactly once for each `IncrementCounter`.
 
     Attributes:
-        name: The count.
+        name: Name of the count.
         result: How the call ended.
-        counter_value: The count's total after the increment, if `result` is OK.
-        duration_ms: From the call to its end.
+        counter_value: Value of the count after the increment; only valid if `result` is OK.
+        duration_ms: Time from the start of the call to its end.
     """
 
     name: str
@@ -121,7 +121,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GossipReceived:
-    """Occurs when another gateway has sent a message."""
+    """Occurs when a gossip message of another gateway arrives."""
 
     sender: int
     payload: bytes
--- a/api_gateway/model/results.py
+++ b/api_gateway/model/results.py
@@ -1,4 +1,4 @@
-"""How attempts, counter calls and requests that are not served end."""
+"""Results of attempts and counter calls, and reasons of rejections."""
 
 from __future__ import annotations
 
@@ -13,44 +13,44 @@
     """How one attempt ended.
 
     Attributes:
-        never_ran: Whether the result proves that the request never ran.
+        never_ran: Whether the result proves that the endpoint did not run the request.
     """
 
     OK = "ok"
     ERROR = "error"
-    OVERLOADED = "overloaded"  # rejected by the endpoint, with the promise that it did not run
+    OVERLOADED = "overloaded"  # rejected by the endpoint, which guarantees that it did not run the request
     TIMED_OUT = "timed_out"
     CONNECT_FAILED = "connect_failed"
     CONNECTION_RESET = "connection_reset"
     CANCELLED = "cancelled"
-    NOT_STARTED = "not_started"  # nobody waited for it any more, or its time was over
-    MALFORMED_RESPONSE = "malformed_response"  # says little of the endpoint; it may have run
-    STALE_CONNECTION = "stale_connection"  # a kept connection broke under its next request; it may have run
-    NOT_SENT = "not_sent"  # the connection broke before the last byte was written
-    LOCAL_LIMIT = "local_limit"  # a limit of the gateway's own; says nothing of the endpoint
-    WITHDRAWN = "withdrawn"  # what it was decided on no longer held when it came to the write
+    NOT_STARTED = "not_started"  # the client had disconnected or the deadline had passed before it was sent
+    MALFORMED_RESPONSE = "malformed_response"  # the request may have run; says little about the endpoint
+    STALE_CONNECTION = "stale_connection"  # a reused connection broke; the request may have run
+    NOT_SENT = "not_sent"  # the connection broke before the last byte of the request was written
+    LOCAL_LIMIT = "local_limit"  # reached a limit of this gateway; says nothing about the endpoint
+    WITHDRAWN = "withdrawn"  # no longer allowed when it was about to be written
 
     def __init__(self, _: str) -> None:
-        """Note what the result proves."""
+        """Set `never_ran`."""
         self.never_ran = self.name in _NEVER_RAN
 
-    __hash__ = object.__hash__  # members are single objects; the default hashes the name each time
+    __hash__ = object.__hash__  # by identity: the hash of Enum computes that of the name on each call
 
 
 class CounterResult(Enum):
-    """How one call of the counter ended."""
+    """How one call of the counter service ended."""
 
     OK = "ok"
-    OVERLOADED = "overloaded"  # rejected: nothing was added
+    OVERLOADED = "overloaded"  # rejected by the counter; nothing was added
     FAILED = "failed"  # nothing was added
     CONNECT_FAILED = "connect_failed"  # nothing was added
-    TIMED_OUT = "timed_out"  # it may have been added
-    MALFORMED_RESPONSE = "malformed_response"  # answered, so added, but with no total that can be read
-    CONNECTION_LOST = "connection_lost"  # it may have been added, and the counter may be well
+    TIMED_OUT = "timed_out"  # the amount may have been added
+    MALFORMED_RESPONSE = "malformed_response"  # the amount was added, but the counter value is unreadable
+    CONNECTION_LOST = "connection_lost"  # the amount may have been added; says little about the counter
 
     @property
     def may_have_been_added(self) -> bool:
-        """Whether the amount may have been added, so that it must not be added again."""
+        """Whether the amount may have been added, so that adding it again could count it twice."""
         return self in (
             CounterResult.OK,
             CounterResult.TIMED_OUT,
@@ -60,17 +60,19 @@
 
 
 class RejectReason(Enum):
-    """Why a request was rejected: it never ran, and the client may send it again."""
+    """Why a request was rejected; a rejected request never ran, and the client may retry it."""
 
     UNSPECIFIED = "unspecified"
     UNKNOWN_CLASS_OR_PLAN = "unknown_class_or_plan"
     NO_ENDPOINTS = "no_endpoints"  # the endpoint list is empty
     DEADLINE_PASSED = "deadline_passed"
-    OBJECTIVE_PASSED = "objective_passed"  # by earlier requests of the client, or while it waited for a total
+    OBJECTIVE_PASSED = (
+        "objective_passed"  # during earlier requests of the client, or while waiting for a counter value
+    )
     TENANT_TABLE_FULL = "tenant_table_full"
-    LOAD_SHED = "load_shed"  # the back end is overloaded
+    LOAD_SHED = "load_shed"  # shed since the back end is overloaded
     OVER_QUOTA = "over_quota"
-    CONCURRENCY_LIMIT = "concurrency_limit"  # of the tenant's requests in flight
-    CEILING = "ceiling"  # of the tenant's plan
-    NO_ENDPOINT_AVAILABLE = "no_endpoint_available"  # none may be sent a request now
-    ATTEMPTS_EXHAUSTED = "attempts_exhausted"  # no attempt ran, and no other is worth its cost
+    CONCURRENCY_LIMIT = "concurrency_limit"  # the tenant has too many requests in flight
+    CEILING = "ceiling"  # the tenant is at the ceiling of its plan
+    NO_ENDPOINT_AVAILABLE = "no_endpoint_available"  # no endpoint may be sent the request now
+    ATTEMPTS_EXHAUSTED = "attempts_exhausted"  # no attempt ran, and a further one is not worth its cost
--- a/api_gateway/model/settings.py
+++ b/api_gateway/model/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the decisions: request classes, plans, limits of the fleet and of its endpoints."""
+"""Settings of the decisions: request classes, plans, and properties of the fleet and its endpoints."""
 
 from __future__ import annotations
 
@@ -24,35 +24,35 @@
 
 
 class Idempotency(Enum):
-    """Whether a request that may have run may be sent again (RFC 9110, section 9.2.2)."""
+    """Whether a request may be retried after it may have run (RFC 9110, section 9.2.2)."""
 
     IDEMPOTENT = "idempotent"
-    WITH_KEY = "with an idempotency key"  # again only while the key is remembered, and within its scope
-    NOT_IDEMPOTENT = "not idempotent"  # never again once it may have run
+    WITH_KEY = "with an idempotency key"  # retried only while the key is remembered, and within its scope
+    NOT_IDEMPOTENT = "not idempotent"  # never retried once it may have run
 
 
 class KeyScope(Enum):
-    """Which endpoints share the memory of an idempotency key."""
+    """Which endpoints remember an idempotency key that one of them has received."""
 
     ALL = "all"
     ZONE = "zone"
-    FAILURE_DOMAIN = "failure domain"  # of the same zone
+    FAILURE_DOMAIN = "failure domain"  # within the same zone
 
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """A class of requests: its latency objective, its priority, and whether it may run again.
+    """A class of requests: its latency objective, priority and idempotency.
 
     Attributes:
-        name: As requests name it.
-        latency_objective_ms: Time within which an answer earns its full weight.
+        name: Name of the class in requests.
+        latency_objective_ms: Time within which a response has its full weight.
         deadline_ms: Longest time for which a client waits.
-        priority_weight: Value of a response within the objective, for one unit.
-        late_priority_weight: Value of a later response.
-        idempotency: Whether a request may be sent again after it may have run.
-        idempotency_key_scope: Which endpoints know a key that one of them has seen.
+        priority_weight: Weight of a response within the objective, for one unit.
+        late_priority_weight: Weight of a later response, for one unit.
+        idempotency: Whether a request may be retried after it may have run.
+        idempotency_key_scope: Which endpoints remember a key that one of them has received.
         idempotency_window_ms: How long endpoints remember a key.
-        streamed: Whether answers are streamed.
+        streamed: Whether responses are streamed.
     """
 
     name: str
@@ -68,19 +68,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """A tenant's plan: a token bucket for its quota and one for its ceiling, over all gateways together.
+    """A tenant's plan: one token bucket for its quota and one for its ceiling, shared by all gateways.
 
     Attributes:
-        name: As requests name it.
-        quota_rate: Units a second; 0 for no quota.
-        quota_burst: Units that the quota's bucket holds.
-        priority_weight: Factor on the weight of the request's class.
-        over_quota_weight: Part of the weight that an answer beyond the quota still earns.
-        over_quota_cost: Part of the weight that a request beyond the quota costs.
-        ceiling_rate: Units a second that are never passed; 0 for no ceiling.
-        ceiling_burst: Units that the ceiling's bucket holds.
-        ceiling_tolerance: Part by which the ceiling may be passed.
-        max_concurrent_requests: Requests in flight at once; 0 for no such limit.
+        name: Name of the plan in requests.
+        quota_rate: Refill rate of the quota, in units per second; 0 for no quota.
+        quota_burst: Capacity of the quota's token bucket, in units.
+        priority_weight: Factor on the weight of the request class.
+        over_quota_weight: Fraction of the weight that a response over the quota has.
+        over_quota_cost: Fraction of the weight that a request over the quota costs.
+        ceiling_rate: Refill rate of the hard ceiling, in units per second; 0 for no ceiling.
+        ceiling_burst: Capacity of the ceiling's token bucket, in units.
+        ceiling_tolerance: Ratio to the ceiling by which usage may exceed it.
+        max_concurrent_requests: Most requests in flight at once; 0 for no limit.
     """
 
     name: str
@@ -97,34 +97,34 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """Settings of one gateway, given at its start.
+    """Settings of one gateway, fixed at startup.
 
     Attributes:
         classes: The request classes.
-        plans: The plans that tenants buy.
-        gateway_index: This gateway's number in the fleet, from 0.
-        fleet_size: Gateways in the fleet.
-        zone: Where this gateway stands.
-        max_attempts: Attempts for one request, the first one included.
+        plans: The plans of the tenants.
+        gateway_index: Index of this gateway in the fleet, from 0.
+        fleet_size: Number of gateways in the fleet.
+        zone: Zone that this gateway runs in.
+        max_attempts: Most attempts for one request, including the first one.
         hedging_allowed: Whether two attempts of a request may be in flight at once.
         cancellation_supported: Whether an attempt can be cancelled.
         max_retry_after_ms: Longest Retry-After allowed; 0 for none.
-        health_checks_allowed: Whether endpoints may be asked for their health.
-        gossip_allowed: Whether gateways may talk to each other.
-        discovery_by_polling: Whether the endpoint list comes only on request.
+        health_checks_allowed: Whether endpoints may be sent health checks.
+        gossip_allowed: Whether gateways may send each other gossip messages.
+        discovery_by_polling: Whether the endpoint list comes only in response to a request.
         counter_enabled: Whether the counter service may be called.
         max_request_units: Units of the largest request.
-        counter_timeout_ms: How long the answer to a counter call is waited for.
+        counter_timeout_ms: Timeout of a call to the counter service.
         actual_units_reported: Whether responses report the units that were used.
-        usage_report_period_ms: Spacing of the usage figures that endpoints report.
-        idle_connection_timeout_ms: Endpoints close connections that are idle for so long.
+        usage_report_period_ms: Interval of the usage figures that endpoints report.
+        idle_connection_timeout_ms: Time after which endpoints close idle connections.
         clock_tick_ms: Resolution of the clock.
-        response_slack_ms: How late a final answer may be.
-        drain_grace_ms: How long after the update an endpoint that drains may still be sent requests.
-        slow_start_min_weight: Part of its capacity that an endpoint has when it starts.
-        slow_start_ms: Time after which a started endpoint has its whole capacity.
-        overload_multiple: Multiple of its capacity that topples an endpoint that is warming up.
-        overload_window_ms: Time for which that load topples it.
+        response_slack_ms: How long after the deadline a final response may still be sent.
+        drain_grace_ms: How long a draining endpoint may still be sent requests, from the update that says so.
+        slow_start_min_weight: Fraction of its capacity that an endpoint has when it starts.
+        slow_start_ms: Time from its start after which an endpoint has its full capacity.
+        overload_multiple: Load that overloads an endpoint in slow start, as a multiple of its capacity.
+        overload_window_ms: How long that load must last to overload the endpoint.
     """
 
     classes: tuple[RequestClass, ...]
@@ -154,10 +154,10 @@
     overload_window_ms: float = 0.0
 
     def check(self) -> None:
-        """Check that the settings make sense.
+        """Check that the settings are valid.
 
         Raises:
-            ValueError: The text names the field that does not.
+            ValueError: A field is invalid; the message is `field: requirement`.
         """
         if not self.classes:
             raise ValueError("classes: at least one is needed")
