--- a/tests/support/endpoint_simulation.py
+++ b/tests/support/endpoint_simulation.py
@@ -1,7 +1,7 @@
-"""Simulation of gateways before endpoints that queue: what is served, rejected and failed of each class.
+"""Simulation of gateways and endpoints with queues: counts served, rejected and failed requests by class.
 
-Each endpoint has cores that process one request each, in the order of arrival. Without a number of cores no
-request ever queues.
+Each endpoint has cores that process one request at a time each, in order of arrival. If their number is None,
+requests never queue.
 """
 
 from __future__ import annotations
@@ -38,9 +38,9 @@
     Attributes:
         request_class: The class.
         mean_service_ms: Mean service time in milliseconds.
-        requests_per_s: Requests a second to each gateway.
+        requests_per_s: Requests per second to each gateway.
         distribution: Distribution of the service time.
-        plan: Plan of all requests.
+        plan: Plan of all of these requests.
     """
 
     request_class: RequestClass
@@ -64,8 +64,8 @@
     Attributes:
         received: All requests.
         served_in_time: Requests with a response within the latency objective.
-        rejected: Requests rejected without an attempt.
-        failed: Requests whose attempts failed.
+        rejected: Requests that were rejected.
+        failed: Requests that failed and may have run.
     """
 
     received: int = 0
@@ -75,12 +75,12 @@
 
     @property
     def rejected_fraction(self) -> float:
-        """Part of the requests that were rejected."""
+        """Fraction of the requests that were rejected."""
         return self.rejected / max(self.received, 1)
 
     @property
     def served_fraction(self) -> float:
-        """Part of the requests that were served in time."""
+        """Fraction of the requests that were served in time."""
         return self.served_in_time / max(self.received, 1)
 
 
@@ -89,7 +89,7 @@
     """A request without a response.
 
     Attributes:
-        load: What the request belongs to.
+        load: The load that it belongs to.
         received_at_ms: Simulated time of its arrival, in milliseconds.
         service_ms: Its service time, in milliseconds.
         attempts: Number of attempts so far.
@@ -102,7 +102,7 @@
 
 
 class EndpointSimulation(EventSimulation):
-    """Gateways before endpoints that queue.
+    """Gateways and endpoints with queues.
 
     Attributes:
         counts: Counts of the requests by class name.
@@ -120,10 +120,10 @@
         """Start all gateways with the full endpoint list.
 
         Args:
-            loads: One for each class.
+            loads: The load of each class.
             gateways: Number of gateways.
             endpoints: Number of endpoints.
-            cores: Number of cores of each endpoint; None for as many as there are requests.
+            cores: Number of cores of each endpoint; None for no queueing.
             seed: Seed of all random draws.
         """
         super().__init__(random.Random(seed), 1e6)
@@ -144,7 +144,7 @@
 
         Args:
             seconds: Duration in simulated seconds.
-            load_factor: Multiple of the loads' rates.
+            load_factor: Factor on the rates of the loads.
 
         Returns:
             The simulation itself.
@@ -164,10 +164,10 @@
         self._sent.clear()
 
     def offered_utilization(self, since_ms: float) -> float:
-        """Return the service time sent to each core for each unit of time.
+        """Return the service time of the attempts sent to each core, per unit of time.
 
         Args:
-            since_ms: Start of the span that ends now, in milliseconds after the simulation's start.
+            since_ms: Start of the interval that ends now, in milliseconds after the start of the simulation.
         """
         span_ms = self.now_ms - self.started_at_ms - since_ms
         service_ms = sum(
@@ -241,7 +241,7 @@
         self._schedule(latency_ms, gateway_index, event)
 
     def _latency_ms(self, endpoint: str, service_ms: float) -> float:
-        """Time until the endpoint has processed a request that is sent now, with its time in the queue."""
+        """Return the time until a request sent now has been processed, including its time in the queue."""
         if not self._cores:
             return service_ms
         cores_free_at_ms = self._cores_free_at_ms[endpoint]
--- a/tests/support/event_simulation.py
+++ b/tests/support/event_simulation.py
@@ -13,7 +13,7 @@
 
 
 class ScheduledEvent(NamedTuple):
-    """An event in the queue; those due at the same time keep the order of their serial numbers."""
+    """An event in the queue; events due at the same time are ordered by serial number."""
 
     due_at_ms: float
     serial: int
@@ -22,7 +22,7 @@
 
 
 class EventSimulation(abc.ABC):
-    """Base of the simulations; a subclass delivers events to its gateways.
+    """Base class of the simulations; a subclass delivers events to its gateways.
 
     Attributes:
         rng: Source of all random draws.
@@ -36,7 +36,7 @@
 
         Args:
             rng: Source of all random draws.
-            now_ms: Simulated time of the start, in milliseconds.
+            now_ms: Simulated time at the start, in milliseconds.
         """
         self.rng = rng
         self.now_ms = self.started_at_ms = now_ms
@@ -45,14 +45,14 @@
 
     @abc.abstractmethod
     def _deliver(self, gateway_index: int, event: Event) -> None:
-        """Hand an event to a gateway at the current time, and carry out its actions."""
+        """Pass an event to a gateway at the current time, and carry out its actions."""
 
     def _next_serial(self) -> int:
         self.serial += 1
         return self.serial
 
     def _schedule(self, delay_ms: float, gateway_index: int, event: Event) -> None:
-        """Deliver an event after a delay in milliseconds."""
+        """Schedule the delivery of an event after a delay in milliseconds."""
         due_at_ms = self.now_ms + delay_ms
         heapq.heappush(self._queue, ScheduledEvent(due_at_ms, self._next_serial(), gateway_index, event))
 
@@ -68,7 +68,7 @@
 
         Args:
             seconds: Duration in simulated seconds.
-            requests_per_ms: Mean rate of the Poisson arrivals, in requests a millisecond.
+            requests_per_ms: Mean rate of the Poisson arrivals, in requests per millisecond.
             send_request: Sends one request at the current time.
         """
         end_at_ms = self.now_ms + 1000 * seconds
--- a/tests/support/gateway_driver.py
+++ b/tests/support/gateway_driver.py
@@ -1,4 +1,4 @@
-"""A gateway that a test drives by hand: its settings, its clock and its events."""
+"""Driver of one gateway in tests: its settings, clock and events."""
 
 from __future__ import annotations
 
@@ -50,6 +50,7 @@
 
 
 def settings(**changes: object) -> Settings:
+    """Return settings with three classes and three plans, with the given fields changed."""
     base = Settings(
         classes=(READ_CLASS, PUT_CLASS, PAY_CLASS),
         plans=(BASIC_PLAN, CAPPED_PLAN, OPEN_PLAN),
@@ -70,18 +71,28 @@
 
 
 class GatewayDriver:
-    """A gateway with its clock, its open attempts and a counter of request ids."""
+    """Delivers events to one gateway, and logs its actions.
+
+    Attributes:
+        gateway: The gateway.
+        now_ms: Time of the last event.
+        serial: Number of requests sent; request ids are `r1`, `r2`, ...
+        counter_values: Values of the counts at the simulated counter service, by name.
+        counter_replies: Number of counter calls that `send_requests` has replied to.
+        action_log: All actions, with the times of their events.
+    """
 
     def __init__(self, endpoints: int = 4, seed: int = 1, now_ms: float = 1e6, **changes: object) -> None:
         self.gateway = Gateway(settings(**changes), seed)
         self.now_ms = now_ms
         self.serial = 0
-        self.counter_values: dict[str, float] = {}  # the shared counter, and how many calls it has answered
+        self.counter_values: dict[str, float] = {}
         self.counter_replies = 0
         self.action_log: list[tuple[float, Action]] = []
         self.deliver(EndpointUpdate(UpdateKind.CACHED, tuple(endpoint(i) for i in range(endpoints))))
 
     def deliver(self, event: Event, after_ms: float = 0.0) -> list[Action]:
+        """Deliver an event after a delay in milliseconds, and return the actions."""
         self.now_ms += after_ms
         actions = self.gateway.handle(self.now_ms, event)
         self.action_log += [(self.now_ms, action) for action in actions]
@@ -97,6 +108,7 @@
         after_ms: float = 0.0,
         gateway_count: int = 3,
     ) -> tuple[str, list[Action]]:
+        """Deliver a new request after a delay in milliseconds, and return its id and the actions."""
         self.serial += 1
         request_id = f"r{self.serial}"
         return request_id, self.deliver(
@@ -113,6 +125,7 @@
         actual_units: float = 0.0,
         after_ms: float = 0.0,
     ) -> list[Action]:
+        """Deliver the end of an attempt, the last of its request by default, and return the actions."""
         starts = [a for _, a in self.action_log if isinstance(a, StartAttempt) and a.request_id == request_id]
         number = len(starts) - 1 if attempt is None else attempt
         return self.deliver(
@@ -129,19 +142,23 @@
         )
 
     def sweep(self, times: int = 1, interval_ms: float = 100) -> None:
+        """Fire the sweep timer a number of times, each after an interval in milliseconds."""
         for _ in range(times):
             self.deliver(TimerFired("sweep"), interval_ms)
 
 
 def endpoint(i: int, **changes: object) -> Endpoint:
+    """Return the list entry of endpoint `h<i>`, in zone a or b, with the given fields changed."""
     return dataclasses.replace(Endpoint(f"h{i}", "ab"[i % 2], i % 2), **changes)
 
 
 def actions_of_type(actions: list[Action], action_type: type) -> list:
+    """Return the actions of one type."""
     return [a for a in actions if isinstance(a, action_type)]
 
 
 def counter_calls(driver: GatewayDriver) -> list[IncrementCounter]:
+    """Return all counter calls of the gateway so far."""
     return [a for _, a in driver.action_log if isinstance(a, IncrementCounter)]
 
 
@@ -152,7 +169,18 @@
     reset_counter_at: int = -1,
     **request_options: object,
 ) -> int:
-    """Send `count` requests, 1 ms apart; peers add `peer_usage` before each, the counter answers at once."""
+    """Send requests, 1 ms apart, and reply to their counter calls at once.
+
+    Args:
+        driver: The gateway.
+        count: Number of requests.
+        peer_usage: Units that other gateways add to each count before each request.
+        reset_counter_at: Index of the request before which all counts are reset to 0; -1 for none.
+        request_options: Options of `GatewayDriver.send_request`.
+
+    Returns:
+        Number of requests with an attempt.
+    """
     sent = 0
     for i in range(count):
         if i == reset_counter_at:
@@ -175,14 +203,14 @@
     after_ms: float = 0.0,
     previous_counter_value: float = 0.0,
 ) -> list[Action]:
-    """Send a request and answer its counter calls.
+    """Send a request, and reply to its counter calls.
 
     Args:
         driver: The gateway.
         units: Units of the request.
-        counter_value: Total of this window's count.
-        after_ms: Milliseconds before the request.
-        previous_counter_value: Total of the last window's count.
+        counter_value: Counter value of the current window.
+        after_ms: Time before the request, in milliseconds.
+        previous_counter_value: Counter value of the previous window.
 
     Returns:
         All actions.
--- a/tests/test_decisions_package.py
+++ b/tests/test_decisions_package.py
@@ -1,4 +1,4 @@
-"""What the files of the decisions may import, and how large they may be."""
+"""What the modules of the decisions may import, and their size limits."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
     "uuid",
 }
 
-MAX_MODULE_LINES = 300  # in one file of the decisions, blank ones not counted
+MAX_MODULE_LINES = 300  # without blank lines
 
 MAX_FUNCTION_LINES = 45
 
 
 def test_decisions_import_nothing_but_the_model_and_the_standard_library() -> None:
-    """No clock, socket, thread or process, and randomness only from generators that are handed on."""
+    """No clock, socket, thread or process, and randomness only from `Random` objects that are passed in."""
     package = ROOT / "api_gateway"
     for file in (*(package / "decisions").glob("*.py"), *(package / "model").glob("*.py")):
         for node in ast.walk(ast.parse(file.read_text())):
@@ -42,6 +42,7 @@
 
 
 def test_decision_files_stay_small() -> None:
+    """Limits the lines of modules and functions and the length of lines, and checks the list of modules."""
     files = [ROOT / name for name in tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]]
     assert set(files) == {
         f for f in (ROOT / "api_gateway" / "decisions").glob("*.py") if f.stem != "__init__"
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The dispatch of events, and bad settings."""
+"""Dispatch of events, and invalid settings."""
 
 from __future__ import annotations
 
@@ -20,6 +20,7 @@
 
 
 def test_late_and_unknown_events_are_ignored() -> None:
+    """Events of finished or unknown requests, calls and timers must not cause actions."""
     driver = GatewayDriver()
     request_id, _ = driver.send_request()
     driver.end_attempt(request_id)
@@ -31,6 +32,7 @@
 
 
 def test_errors_name_the_wrong_event_or_setting() -> None:
+    """An unknown event or an invalid setting raises an error that names it."""
     driver = GatewayDriver()
     with pytest.raises(TypeError, match="not an event"):
         driver.deliver("hello")
@@ -47,6 +49,7 @@
 def test_actions_of_an_event_that_raised_are_not_returned_with_the_next(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """The actions added before an exception must not be returned for the next, unrelated event."""
     driver = GatewayDriver()
 
     def fail(*arguments: object) -> None:
@@ -55,5 +58,5 @@
     with monkeypatch.context() as patch:
         patch.setattr(driver.gateway.attempt_flow, "start", fail)
         with pytest.raises(RuntimeError):
-            driver.send_request(plan="basic", time_left_ms=200)  # after it has added a counter call
+            driver.send_request(plan="basic", time_left_ms=200)  # fails after it has added a counter call
     assert driver.deliver(TimerFired("unknown")) == []
--- a/tests/test_gateway_random_events.py
+++ b/tests/test_gateway_random_events.py
@@ -1,4 +1,4 @@
-"""Odd but legal settings and any order of odd events: nothing raises, no request gets two answers."""
+"""Unusual but valid settings, and unusual events in any order: no exception, and no second final response."""
 
 from __future__ import annotations
 
@@ -37,6 +37,7 @@
 
 
 def random_settings(rng: random.Random) -> Settings:
+    """Return valid settings, many of them at their limits."""
     classes = tuple(
         RequestClass(
             f"c{i}",
@@ -90,6 +91,16 @@
     count_names: list[str],
     attempts: list[tuple[str, int, str]],
 ) -> Event:
+    """Return a random event, which may refer to unknown or finished requests.
+
+    Args:
+        rng: Source of the random draws.
+        step: Number of the step, which names a new request.
+        now_ms: The current time.
+        request_ids: Ids of the requests so far; a new request is appended.
+        count_names: Names of the counts that were called.
+        attempts: Request id, number and endpoint of each attempt.
+    """
     kind = rng.choice(
         ["list", "request", "request", "request", "outcome", "outcome", "count", "other", "sweep"]
     )
@@ -161,6 +172,7 @@
 
 @pytest.mark.parametrize("seed", range(60))
 def test_no_event_raises_and_no_request_has_two_final_responses(seed: int) -> None:
+    """Also checks that no attempt follows the final response, and that names of counts stay short."""
     rng = random.Random(seed)
     gateway, now_ms = Gateway(random_settings(rng), seed), 1e5
     request_ids: list[str] = []
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Which endpoints are ejected, and when they are probed."""
+"""Which results eject an endpoint, and when it is probed."""
 
 from __future__ import annotations
 
@@ -19,7 +19,17 @@
 def connects_to_unreachable(
     driver: GatewayDriver, unreachable: set[str], requests: int, interval_ms: float
 ) -> int:
-    """Send requests at a steady rate while some endpoints cannot be reached; return the connects to them."""
+    """Send requests at a constant rate while some endpoints are unreachable.
+
+    Args:
+        driver: The gateway.
+        unreachable: Names of the unreachable endpoints.
+        requests: Number of requests.
+        interval_ms: Time between requests.
+
+    Returns:
+        Number of connects to the unreachable endpoints.
+    """
     connects = 0
     for _ in range(requests):
         request_id, actions = driver.send_request(after_ms=interval_ms)
@@ -49,7 +59,7 @@
     ],
 )
 def test_which_results_eject_an_endpoint(result: AttemptResult, times: int, is_ejected: bool) -> None:
-    """A closed connection, a malformed response or a local limit does not eject an endpoint."""
+    """A stale connection, a malformed response or a local limit must not eject an endpoint."""
     driver = GatewayDriver(endpoints=1, max_attempts=1)
     for _ in range(times):
         request_id, actions = driver.send_request()
@@ -64,6 +74,7 @@
 
 
 def test_an_ejected_endpoint_is_probed_after_its_backoff() -> None:
+    """An ejected endpoint gets no requests during its backoff, and the first request after it as a probe."""
     driver = GatewayDriver(endpoints=4)
     driver.sweep()
     state = driver.gateway.endpoints["h0"]
@@ -81,6 +92,7 @@
 
 
 def test_probes_of_a_lost_zone_are_a_small_fraction_of_the_attempts() -> None:
+    """Each probe of an unreachable endpoint delays a request, so the probe budget limits them."""
     driver = GatewayDriver(endpoints=60)
     unreachable = {f"h{i}" for i in range(24)}
     connects_to_unreachable(driver, unreachable, 400, 80)  # until they are ejected
@@ -90,6 +102,7 @@
 
 
 def test_a_single_ejected_endpoint_is_probed_soon() -> None:
+    """The probe budget must not keep a single ejected endpoint from being probed."""
     driver = GatewayDriver(endpoints=4)
     connects_to_unreachable(driver, {"h0"}, 40, 80)
     assert connects_to_unreachable(driver, {"h0"}, 100, 80) >= 2
--- a/tests/test_request_flow.py
+++ b/tests/test_request_flow.py
@@ -1,4 +1,4 @@
-"""The way of a request: one answer in time, and the rules on attempts, whatever happens."""
+"""Processing of requests: one final response each, the rules on attempts, and reasons of rejections."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass
 class SentAttempt:
-    """What the test knows of one attempt."""
+    """State of one attempt, as the test tracks it."""
 
     endpoint: str
     sent_at_ms: float
@@ -37,7 +37,7 @@
 
 
 class RandomEvents:
-    """A gateway between random requests, results and drains, with the rules checked at each action."""
+    """Drives a gateway with random requests, results and drains, and checks the rules on each action."""
 
     RESULTS = (
         AttemptResult.OK,
@@ -59,7 +59,7 @@
         self.zones = {f"h{i}": "ab"[i % 2] for i in range(6)}
 
     def final_response_count(self, request_id: str) -> int:
-        """How many final answers a request has."""
+        """Return how many final responses a request has."""
         rejected_or_failed = sum(
             isinstance(action, RejectRequest | FailRequest) and action.request_id == request_id
             for _, action in self.driver.action_log
@@ -67,7 +67,7 @@
         return rejected_or_failed + (request_id in self.served)
 
     def check_actions(self, actions: list[Action]) -> None:
-        """Hold each action against the rules."""
+        """Check that each action keeps the rules."""
         for action in actions:
             if isinstance(action, StartAttempt):
                 self.check_attempt(action)
@@ -77,10 +77,10 @@
                 assert is_idempotent or not any(attempt.may_have_run for attempt in attempts)
 
     def check_attempt(self, action: StartAttempt) -> None:
-        """Hold an attempt against the rules on drains, answers, hedging and repeats."""
+        """Check that an attempt keeps the rules on draining, final responses, hedging and retries."""
         earlier = self.attempts.setdefault(action.request_id, [])
         assert self.statuses[action.endpoint] is EndpointStatus.UP, "sent to a draining endpoint"
-        assert self.final_response_count(action.request_id) == 0, "sent after the final answer"
+        assert self.final_response_count(action.request_id) == 0, "sent after the final response"
         assert action.timeout_ms > 0
         assert self.hedging_allowed or not any(attempt.is_in_flight for attempt in earlier)
         self.check_retry(action, [attempt for attempt in earlier if attempt.may_have_run])
@@ -88,7 +88,7 @@
         earlier.append(SentAttempt(action.endpoint, self.driver.now_ms, ends_at_ms))
 
     def check_retry(self, action: StartAttempt, may_have_run: list[SentAttempt]) -> None:
-        """Hold an attempt against the idempotency of its class."""
+        """Check that an attempt keeps the rules on idempotency of its class."""
         class_name = self.class_names[action.request_id]
         assert class_name != "pay" or not may_have_run, "a request that is not idempotent was sent twice"
         if class_name == "put" and may_have_run:
@@ -98,7 +98,7 @@
             assert self.driver.now_ms - may_have_run[0].sent_at_ms < 3000
 
     def in_flight(self) -> list[tuple[str, int]]:
-        """The attempts in flight, by request and number, in order."""
+        """Return the attempts in flight as sorted pairs of request id and attempt number."""
         return sorted(
             (request_id, number)
             for request_id, attempts in self.attempts.items()
@@ -115,7 +115,7 @@
         )
 
     def end_some_attempt(self) -> None:
-        """End the first attempt that has timed out, else now and then a random one."""
+        """End the first attempt that has timed out; if there is none, sometimes end a random one."""
         overdue = [key for key in self.in_flight() if self.attempt(key).ends_at_ms <= self.driver.now_ms]
         if overdue:
             self.end_attempt(overdue[0], AttemptResult.TIMED_OUT)
@@ -124,11 +124,11 @@
             self.end_attempt(key, self.rng.choice(self.RESULTS))
 
     def attempt(self, key: tuple[str, int]) -> SentAttempt:
-        """One attempt by request and number."""
+        """Return the attempt with this request id and number."""
         return self.attempts[key[0]][key[1]]
 
     def end_attempt(self, key: tuple[str, int], result: AttemptResult, after_ms: float = 0.0) -> None:
-        """End one attempt."""
+        """Deliver the end of an attempt, and check the actions."""
         attempt = self.attempt(key)
         attempt.may_have_run, attempt.is_in_flight = not result.never_ran, False
         has_response = self.final_response_count(key[0]) > 0
@@ -145,14 +145,14 @@
         self.check_actions(self.driver.deliver(event, after_ms))
 
     def drain_or_restore(self) -> None:
-        """Change the status of a random endpoint."""
+        """Set the status of a random endpoint to up or draining."""
         name = self.rng.choice(sorted(self.statuses))
         self.statuses[name] = self.rng.choice([EndpointStatus.UP, EndpointStatus.DRAINING])
         entry = endpoint(int(name[1:]), status=self.statuses[name])
         self.check_actions(self.driver.deliver(EndpointUpdate(UpdateKind.CHANGES, (entry,))))
 
     def run(self, steps: int) -> None:
-        """Live for so many steps, then end what is in flight."""
+        """Run a number of steps, then end all attempts in flight."""
         for step in range(steps):
             self.driver.now_ms += self.rng.expovariate(1 / 15)
             if self.rng.random() < 0.5:
@@ -170,6 +170,7 @@
 def test_random_events_keep_the_rules_on_responses_retries_and_draining(
     seed: int, hedging_allowed: bool
 ) -> None:
+    """Any order of requests, results and drains gives each request exactly one final response."""
     random_events = RandomEvents(seed, hedging_allowed)
     random_events.run(700)
     assert all(
@@ -179,6 +180,7 @@
 
 
 def test_requests_that_cannot_be_served_are_rejected_once() -> None:
+    """Without endpoints, with an unknown class or plan, or past the deadline: one rejection each."""
     driver = GatewayDriver(endpoints=0)
     assert len(actions_of_type(driver.send_request()[1], RejectRequest)) == 1
     driver = GatewayDriver()
@@ -189,6 +191,7 @@
 
 
 def test_a_withdrawn_attempt_is_retried_elsewhere_at_no_cost() -> None:
+    """An attempt withdrawn since its endpoint drains is no sample of the load and costs no retry tokens."""
     driver = GatewayDriver(endpoints=2)
     request_id, actions = driver.send_request("pay")
     (first,) = actions_of_type(actions, StartAttempt)
@@ -212,6 +215,7 @@
 
 
 def test_a_local_limit_rejects_the_request_at_once() -> None:
+    """A limit of the gateway itself applies to all endpoints, so a retry would fail as well."""
     driver = GatewayDriver(endpoints=4)
     request_id, _ = driver.send_request()
     actions = driver.end_attempt(request_id, AttemptResult.LOCAL_LIMIT)
@@ -219,6 +223,7 @@
 
 
 def test_rejections_carry_a_retry_after() -> None:
+    """Both without endpoints and after the last attempt, within `max_retry_after_ms`."""
     driver = GatewayDriver(endpoints=0)
     (rejection,) = actions_of_type(driver.send_request()[1], RejectRequest)
     assert 0 < rejection.retry_after_ms <= 2000
@@ -229,7 +234,7 @@
 
 
 def reason_of(actions: list[Action]) -> RejectReason:
-    """The reason of the one rejection among some actions."""
+    """Return the reason of the only rejection among the actions."""
     (rejection,) = actions_of_type(actions, RejectRequest)
     return rejection.reason
 
@@ -250,7 +255,8 @@
     assert (
         reason_of(driver.send_request(plan="basic", units=6, gateway_count=1)[1]) is RejectReason.OVER_QUOTA
     )
-    assert reason_of(driver.send_request(plan="capped")[1]) is RejectReason.CEILING  # a share starts empty
+    # A gateway's share of the ceiling starts empty.
+    assert reason_of(driver.send_request(plan="capped")[1]) is RejectReason.CEILING
 
 
 def test_rejections_by_load_and_endpoints_carry_their_reason() -> None:
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -1,4 +1,4 @@
-"""When a request may be attempted again, and what retries cost."""
+"""When a request may be retried, the retry budget, and the timeouts of attempts."""
 
 from __future__ import annotations
 
@@ -24,6 +24,7 @@
 
 
 def test_requests_with_a_key_are_retried_only_within_its_window_and_scope() -> None:
+    """Outside of the key's zone or window, endpoints do not know the key and would run the request again."""
     driver = GatewayDriver(endpoints=4)
     driver.deliver(RequestReceived("k", "put", "open", "c", 4000.0))
     pending = driver.gateway.pending_requests.get("k")
@@ -35,7 +36,7 @@
         if state.zone == first.zone and state is not first
     )
     other_zone = next(state for state in driver.gateway.endpoints.values() if state.zone != first.zone)
-    assert not is_allowed(pending, same_zone, driver.now_ms)  # the first one is in flight
+    assert not is_allowed(pending, same_zone, driver.now_ms)  # the first attempt is in flight
     pending.attempts[0].is_in_flight = False
     assert is_allowed(pending, same_zone, driver.now_ms) and not is_allowed(
         pending, other_zone, driver.now_ms
@@ -44,7 +45,7 @@
 
 
 def test_a_retry_finds_its_failure_domain_outside_the_subset() -> None:
-    """Keyed by failure domain: only endpoints of that of the first attempt may have it again."""
+    """If only one failure domain remembers the key, a retry must go there, even outside of the subset."""
     put_class = RequestClass(
         "put",
         latency_objective_ms=1000,
@@ -67,6 +68,7 @@
 
 
 def test_retries_stay_within_their_budget() -> None:
+    """While all endpoints are overloaded, retries must not multiply the load."""
     driver = GatewayDriver(endpoints=4)
     attempt_count = 0
     for _ in range(300):
@@ -82,6 +84,7 @@
 
 
 def test_timeouts_are_short_only_while_responses_get_lost_and_a_retry_is_allowed() -> None:
+    """While responses get lost, the timeout must leave time for a retry if the class allows one."""
     driver = GatewayDriver(endpoints=8)
 
     def first_timeout_ms(class_name: str) -> float:
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -1,4 +1,4 @@
-"""The ring: even positions, stable order, coverage."""
+"""The ring: evenly spaced positions, stable order, even coverage."""
 
 from __future__ import annotations
 
@@ -10,6 +10,7 @@
 
 
 def create_ring(names: list[str], zones: int = 3) -> Ring:
+    """Return a ring of endpoints that are assigned to the zones in turn."""
     ring = Ring()
     for i, name in enumerate(names):
         ring.add(name, f"z{i % zones}")
@@ -17,11 +18,13 @@
 
 
 def first_names(ring_of_endpoints: Ring, start: float, count: int) -> list[str]:
+    """Return the first names of a walk from a position."""
     return [name for name, _ in zip(ring_of_endpoints.walk(start), range(count), strict=False)]
 
 
 @pytest.mark.parametrize("fleet_size", [1, 2, 3, 40, 200, 670])
 def test_positions_are_evenly_spaced_and_adjacent_numbers_lie_apart(fleet_size: int) -> None:
+    """Gateways with adjacent indexes are busy at the same times, so they must not share endpoints."""
     positions = [gateway_position(i, fleet_size) for i in range(fleet_size)]
     assert sorted(positions) == [i / fleet_size for i in range(fleet_size)]
     if fleet_size >= 40:
@@ -33,6 +36,7 @@
 
 @pytest.mark.parametrize("endpoint_count", [1, 2, 7, 50, 1000])
 def test_a_walk_names_every_endpoint_once_from_any_position(endpoint_count: int) -> None:
+    """Also checks that removing all endpoints leaves an empty ring."""
     names = [f"h{i}" for i in range(endpoint_count)]
     ring_of_endpoints = create_ring(names, zones=5)
     for start in (0.0, 0.3, 0.999):
@@ -46,6 +50,7 @@
 
 
 def test_the_order_follows_from_the_names_alone() -> None:
+    """Gateways that learn of the endpoints in different orders must compute the same ring."""
     names = [f"h{i}" for i in range(60)]
     ring, reversed_ring = create_ring(names), Ring()
     for name in reversed(names):
@@ -54,6 +59,7 @@
 
 
 def test_subsets_cover_endpoints_and_zones_evenly() -> None:
+    """Each endpoint is in about as many subsets as any other, and each subset has all zones evenly."""
     names = [f"h{i}" for i in range(200)]
     ring_of_endpoints = create_ring(names, zones=4)
     coverage = dict.fromkeys(names, 0)
@@ -63,11 +69,15 @@
             coverage[name] += 1
         per_zone = [sum(names.index(name) % 4 == zone for name in subset) for zone in range(4)]
         assert max(per_zone) - min(per_zone) <= 2
-    assert max(coverage.values()) - min(coverage.values()) <= 3  # 12 in the mean
+    assert max(coverage.values()) - min(coverage.values()) <= 3  # each endpoint is in 12 subsets on average
 
 
 def test_one_endpoint_more_or_less_changes_few_subsets() -> None:
-    """Of 12 endpoints one changes where it enters or leaves, and one by the shift of ranks."""
+    """A changed endpoint must not cost all gateways their connections.
+
+    At most two of the 12 endpoints of a subset change: one by the changed endpoint itself, and one by the
+    shift of ranks.
+    """
     names = [f"h{i}" for i in range(400)]
     ring_of_endpoints = create_ring(names, zones=4)
     subsets_before = [
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -1,4 +1,4 @@
-"""The choice of an endpoint: open connections, load, and its cost."""
+"""Selection of an endpoint: idle connections, load, and the cost of a decision."""
 
 from __future__ import annotations
 
@@ -26,6 +26,7 @@
 
 
 def test_sparse_traffic_reuses_idle_connections() -> None:
+    """Sparse traffic that is spread over the whole subset would need a new connection for each request."""
     driver = GatewayDriver(endpoints=60, idle_connection_timeout_ms=30000.0)
     used_endpoints = []
     for _ in range(200):
@@ -39,6 +40,7 @@
 
 
 def test_a_loaded_endpoint_loses_to_one_that_needs_a_new_connection() -> None:
+    """Requests in flight on an endpoint count for more than the cost of connecting to another one."""
     driver = GatewayDriver(endpoints=4)
     request_id, actions = driver.send_request()
     first = next(action.endpoint for action in actions if isinstance(action, StartAttempt))
@@ -51,10 +53,11 @@
         next(action.endpoint for action in driver.send_request()[1] if isinstance(action, StartAttempt))
         for _ in range(3)
     }
-    assert first not in others, "requests in flight on it outweigh a handshake"
+    assert first not in others, "requests in flight on it outweigh a new connection"
 
 
 def test_a_decision_examines_as_many_endpoints_at_50_as_at_11000(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The cost of a decision must not grow with the number of endpoints."""
     examined = [0]
     original = RetryPolicy.is_attempt_allowed
 
@@ -86,4 +89,4 @@
             assert examined[0] <= MAX_CANDIDATES
             if i % 12 == 0:
                 gateway.handle(now_ms, TimerFired("sweep"))
-        assert len(gateway.subset) < 200  # 125 requests a second: one a second for each of its endpoints
+        assert len(gateway.subset) < 200  # about one request per second to each endpoint
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""What an endpoint that is warming up is sent."""
+"""Budgets of endpoints in slow start."""
 
 from __future__ import annotations
 
@@ -22,6 +22,7 @@
 
 
 def test_an_endpoint_in_slow_start_gets_no_more_than_its_budget() -> None:
+    """A new endpoint that responds fast must not attract more requests than its capacity allows."""
     driver = GatewayDriver(endpoints=4)
     for i in range(300):
         request_id, _ = driver.send_request(after_ms=10)
@@ -43,31 +44,36 @@
 
 
 def test_budget_saves_half_of_the_overload_window() -> None:
+    """An unused budget is saved up to the work of half an overload window, which may be sent at once."""
     driver = GatewayDriver(endpoints=1)
     gateway = driver.gateway
-    driver.sweep(20)  # past the time in which it has no rates yet
+    driver.sweep(20)  # until the gateway has measured its rates
     driver.deliver(EndpointUpdate(UpdateKind.FULL, (endpoint(9, started_at_ms=driver.now_ms - 5000),)))
     warming_up = gateway.subset.refresh(driver.now_ms).warming_up[0]
-    # Work admitted in each millisecond, for the only endpoint there is.
+    # The rate of admitted work, all of it for the only endpoint.
     gateway.traffic.admitted_work_rate = 0.1 / (slow_start.BUDGET_SAFETY_FACTOR * 3)
-    saved_work_ms = 0.2 * 0.1 * 2000 / 2  # at most half a span's worth is saved up
+    saved_work_ms = 0.2 * 0.1 * 2000 / 2  # the work of half an overload window
     gateway.slow_start._refill(warming_up, 0.2, driver.now_ms)
     assert warming_up.slow_start_budget >= saved_work_ms - 0.1
     gateway.latency._per_unit_ms["read"] = saved_work_ms / 4.5
     action_lists = [driver.send_request()[1] for _ in range(20)]
-    assert (
-        4 <= sum(len(actions_of_type(actions, StartAttempt)) for actions in action_lists) <= 5
-    )  # the other endpoints are removed: the budget still holds
+    # The budget holds although the other endpoints have been removed.
+    assert 4 <= sum(len(actions_of_type(actions, StartAttempt)) for actions in action_lists) <= 5
 
 
 @pytest.mark.parametrize("budget_fraction", [0.02, 0.2, 0.7])
 def test_budgets_below_one_request_add_up_over_the_fleet(budget_fraction: float) -> None:
+    """If each gateway's budget is a fraction of one request, that fraction of the gateways sends one.
+
+    Rounding all budgets down would leave the endpoint without requests; rounding up would overload it.
+    """
     sending_gateways = 0
     for i in range(300):
         driver = GatewayDriver(endpoints=1, seed=i, fleet_size=300)
         driver.sweep(20)
         admitted_work_rate = 0.1 / (slow_start.BUDGET_SAFETY_FACTOR * 3)
-        work_ms = 0.36 * 0.1 * 1000 / budget_fraction  # 2 of 10 s: at least 0.36 warm
+        # After 2 of 10 s of slow start, the capacity fraction is at least 0.36.
+        work_ms = 0.36 * 0.1 * 1000 / budget_fraction
         driver.deliver(EndpointUpdate(UpdateKind.FULL, (endpoint(9, started_at_ms=driver.now_ms - 2000),)))
         driver.gateway.latency._per_unit_ms["read"], driver.gateway.traffic.admitted_work_rate = (
             work_ms,
@@ -81,6 +87,7 @@
 
 
 def test_a_fleet_with_no_rates_yet_sends_single_requests() -> None:
+    """300 gateways that start together must not send a new endpoint one request each."""
     attempts = 0
     for i in range(300):
         driver = GatewayDriver(endpoints=1, seed=i, fleet_size=300, gateway_index=i)
@@ -90,6 +97,7 @@
 
 
 def test_an_endpoint_back_from_connect_failures_starts_slowly() -> None:
+    """An endpoint that could not be reached may have restarted, so its first success begins a slow start."""
     driver = GatewayDriver(endpoints=1)
     request_id, _ = driver.send_request()
     driver.end_attempt(request_id, AttemptResult.CONNECT_FAILED)
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -1,4 +1,4 @@
-"""Subsets of endpoints: stability, size, loss and coverage."""
+"""Subsets of endpoints: stability, size, lost endpoints and coverage."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class PartialOutage:
-    """One gateway whose endpoints may be unreachable."""
+    """One gateway, some of whose endpoints are unreachable."""
 
     def __init__(self, endpoints: int, fleet_size: int) -> None:
         self.driver = GatewayDriver(
@@ -33,7 +33,7 @@
         self.next_sweep_at_ms = self.driver.now_ms + 100
 
     def send_request(self, after_ms: float = 50.0) -> bool:
-        """One request and what comes of it: whether it was served."""
+        """Send a request, end its attempts, and return whether it was served."""
         self.driver.now_ms += after_ms
         while self.next_sweep_at_ms <= self.driver.now_ms:
             self.driver.deliver(TimerFired("sweep"))
@@ -50,6 +50,7 @@
 
 
 def test_a_full_update_keeps_the_subset_of_those_that_stay() -> None:
+    """Receiving the same list again must not change the subset; removed and draining endpoints leave it."""
     driver = GatewayDriver(endpoints=200, fleet_size=100)
     names_before = {state.name for state in driver.gateway.subset.refresh(driver.now_ms)}
     driver.deliver(EndpointUpdate(UpdateKind.FULL, tuple(endpoint(i) for i in range(200))))
@@ -69,7 +70,7 @@
 def test_load_is_spread_over_the_endpoints_at_every_size(
     gateways: int, endpoints: int, traffic_share_shape: float
 ) -> None:
-    """Even and uneven traffic over gateways; the busiest and the idlest endpoint against the mean."""
+    """No endpoint gets far more or less than the mean load, with even or uneven traffic over gateways."""
     simulation = FleetSimulation(
         gateways=gateways,
         endpoints=endpoints,
@@ -86,7 +87,10 @@
 
 
 def test_the_loss_of_a_whole_subset_is_replaced_by_other_endpoints() -> None:
-    """20 requests a second, three attempts each: the endpoints are ejected within 2 s."""
+    """All endpoints of a subset become unreachable, and later reachable again.
+
+    At 20 requests per second with up to three attempts each, they are all ejected within 2 s.
+    """
     partial_outage = PartialOutage(200, 100)
     for _ in range(60):
         assert partial_outage.send_request()
@@ -95,18 +99,19 @@
     }
     assert len(partial_outage.unreachable) >= MIN_SUBSET_SIZE
     served = [partial_outage.send_request() for _ in range(120)]
-    assert all(served[60:]), "3 s later no request fails for them"
+    assert all(served[60:]), "after 3 s, no request fails because of them"
     assert (
         len({state.name for state in partial_outage.driver.gateway.subset.warm} - partial_outage.unreachable)
         >= MIN_SUBSET_SIZE
     )
-    partial_outage.unreachable = set()  # and they are taken back
+    partial_outage.unreachable = set()  # their ejections end again
     for _ in range(600):
         partial_outage.send_request()
     assert not partial_outage.driver.gateway.subset.ejected
 
 
 def test_a_subset_grows_after_the_loss_of_a_zone() -> None:
+    """Half of the endpoints become unreachable; most requests are served at once, and soon all of them."""
     partial_outage = PartialOutage(200, 100)
     for _ in range(60):
         partial_outage.send_request()
@@ -116,9 +121,11 @@
 
 
 def test_a_loaded_subset_grows_and_shrinks_again() -> None:
+    """A subset with more attempts in flight than endpoints grows, and shrinks once they have ended."""
     driver = GatewayDriver(endpoints=200, fleet_size=100, counter_enabled=False)
     driver.sweep(5)
-    request_ids = [driver.send_request()[0] for _ in range(60)]  # no answers: more in flight than endpoints
+    # Without responses, there are more attempts in flight than endpoints in the subset.
+    request_ids = [driver.send_request()[0] for _ in range(60)]
     driver.sweep(10)
     grown_size = len(driver.gateway.subset.refresh(driver.now_ms).warm)
     assert grown_size > 2 * MIN_SUBSET_SIZE
@@ -130,7 +137,10 @@
 
 
 def test_every_endpoint_is_in_some_subset() -> None:
-    """20 endpoints to a gateway, whose traffic alone would visit 15: the subsets cover the ring twice."""
+    """Subsets sized by traffic alone could leave endpoints that no gateway sends requests to.
+
+    With 20 endpoints per gateway, and traffic for subsets of 15, the subsets cover the ring twice.
+    """
     reached: dict[str, int] = {}
     for index in range(10):
         driver = GatewayDriver(endpoints=200, fleet_size=10, gateway_index=index, counter_enabled=False)
