--- a/api_gateway/decisions/outlier_detection.py
+++ b/api_gateway/decisions/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: ejects endpoints that fail repeatedly, and marks those that are far slower than others.
+"""Outlier detection: ejects endpoints that fail repeatedly, and detects those far slower than the others.
 
 An ejected endpoint is probed by single requests of clients, the first one `EJECTION_BACKOFF_MS` after its
 ejection. Its first success ends the ejection; each failed probe doubles the backoff.
@@ -16,7 +16,8 @@
 EJECTION_BACKOFF_MS = 500.0
 MAX_EJECTION_BACKOFF_MS = 4000.0
 MAX_EJECTION_COUNT = 10
-MAX_CONSECUTIVE_FAILURES = 3  # an endpoint is ejected after so many failures in a row
+# An endpoint is ejected after this many errors, resets or, if it is an outlier, timeouts in a row.
+MAX_CONSECUTIVE_FAILURES = 3
 OUTLIER_LATENCY_RATIO = 2.5  # multiple of the median latency ratio above which an endpoint is an outlier
 LATENCY_RATIO_WEIGHT = 0.2  # weight of one result in the running mean of the latency ratio
 MAX_LATENCY_RATIO = 20.0
@@ -67,7 +68,7 @@
         self.is_majority_ejected = False
 
     def sweep(self, subset: Iterable[EndpointState], ejected_count: int) -> None:
-        """Update what endpoints are compared with.
+        """Update the median latency ratio and whether most endpoints are ejected.
 
         Args:
             subset: The endpoints of the subset.
@@ -95,7 +96,7 @@
         Args:
             endpoint: The endpoint.
             event: The end of the attempt.
-            expected_latency_ms: Typical latency of such a request.
+            expected_latency_ms: Typical latency of a request of this class and size.
             objective_ms: Latency objective of its class.
             now_ms: The current time.
         """
--- a/api_gateway/decisions/request_flow.py
+++ b/api_gateway/decisions/request_flow.py
@@ -22,15 +22,15 @@
 
 # Requests over their quota are admitted below this fraction of the occupancy at which load shedding begins.
 OVER_QUOTA_OCCUPANCY_FRACTION = 0.5
-# A request waits for a counter value only if this many sweeps fit in its time beyond the counter's timeout.
+# A request waits for a counter value only if its time exceeds the counter's timeout by this many sweeps.
 MIN_SPARE_SWEEPS = 2
 
 
 class RequestFlow:
     """Starts the first attempt of each request, or rejects the request.
 
-    Checks the quota, admission and the ceiling, and selects an endpoint. Also records the times that requests
-    have remaining, to tell how long their clients have spent on earlier requests.
+    Checks the quota, admission and the ceiling, and selects an endpoint. Also records the remaining times of
+    requests, which show how long their clients have spent on earlier requests.
 
     Args:
         settings: The gateway's settings.
@@ -82,12 +82,12 @@
         self._probe_budget = probe_budget
         self._traffic = traffic
         self._latency = latency
-        self._spent_time = EarlierRequestTime(settings.classes)
+        self._earlier_request_time = EarlierRequestTime(settings.classes)
 
     # Receipt
 
     def receive(self, request: RequestReceived, now_ms: float) -> None:
-        """Decide on a request at once, or let it wait for its tenant's total."""
+        """Decide on a request at once, or let it wait for the counter value of its tenant."""
         if request.request_id in self._pending_requests or self._usage_reporter.is_waiting(
             request.request_id
         ):
@@ -138,7 +138,7 @@
         """Return when a response loses all weight: at the deadline if late responses have a weight."""
         if request_class.late_priority_weight > 0:
             return deadline_at_ms
-        spent_ms = self._spent_time.spent_ms(request, request_class)
+        spent_ms = self._earlier_request_time.spent_ms(request, request_class)
         return min(now_ms + request_class.latency_objective_ms - spent_ms, deadline_at_ms)
 
     def _find_tenant(self, request: RequestReceived, plan: Plan, now_ms: float) -> Tenant | None:
--- a/api_gateway/decisions/retry.py
+++ b/api_gateway/decisions/retry.py
@@ -15,8 +15,8 @@
 
 RETRIES_PER_REQUEST = 0.2  # tokens that each admitted request adds to the retry budget
 MAX_SAVED_RETRIES = 10.0
-# With a higher ratio of lost responses, attempts that may be retried get a shorter timeout.
-MAX_LOST_RESPONSE_RATIO = 0.06
+# With a higher fraction of lost responses, attempts that may be retried get a shorter timeout.
+MAX_LOST_RESPONSE_FRACTION = 0.06
 MIN_TIMEOUT_MS = 1.0
 MIN_EXPECTED_LATENCY_MS = 1e-6
 
@@ -56,7 +56,7 @@
     Args:
         settings: The gateway's settings.
         latency: Typical latencies of the classes.
-        occupancy: Occupancy of the back end, with the ratio of lost responses.
+        occupancy: Occupancy of the back end, with the fraction of lost responses.
     """
 
     def __init__(self, settings: Settings, latency: TypicalLatency, occupancy: Occupancy) -> None:
@@ -130,7 +130,7 @@
             pending.objective_at_ms - now_ms - tick_ms, min(MIN_TIMEOUT_MS, pending.deadline_at_ms - now_ms)
         )
         if (
-            self._occupancy.lost_response_fraction <= MAX_LOST_RESPONSE_RATIO
+            self._occupancy.lost_response_fraction <= MAX_LOST_RESPONSE_FRACTION
             or not self._may_retry_next_attempt(pending)
         ):
             return timeout_ms
--- a/api_gateway/decisions/selection.py
+++ b/api_gateway/decisions/selection.py
@@ -20,7 +20,7 @@
 LATENCY_EXPONENT = 0.5
 TIE_BREAK_BASE = 1.3
 TIE_BREAK_WEIGHT = 0.1  # weight of the random term, and of each visit interval since the last attempt
-MAX_COUNTED_INTERVALS = 3.0
+MAX_COUNTED_INTERVALS = 3.0  # visit intervals that count at most
 
 
 class EndpointSelector:
@@ -29,7 +29,7 @@
     Args:
         endpoint_table: All endpoints.
         subset: Endpoints of this gateway's subset.
-        subset_sizer: Tells whether traffic is too sparse to keep connections open.
+        subset_sizer: Provides whether traffic is too sparse to keep connections open.
         slow_start: Budgets of the endpoints in slow start.
         retry_policy: Decides where an attempt is allowed.
         probe_budget: Token bucket of probes of ejected endpoints.
@@ -62,7 +62,8 @@
         1. an endpoint in slow start that has budget for the request,
         2. an ejected endpoint that is due for a probe,
         3. the least loaded warm endpoint,
-        4. for a retry, the least loaded endpoint in a failure domain that was tried before,
+        4. for a retry, the least loaded endpoint in the failure domains of earlier attempts, which remember
+           their idempotency keys,
         5. the ejected endpoint that is due for a probe next.
 
         Returns:
--- a/api_gateway/decisions/subset.py
+++ b/api_gateway/decisions/subset.py
@@ -120,7 +120,7 @@
         self.warm, self.warming_up, self.ejected = warm, warming_up, ejected
 
     def _spread_first_visit(self, endpoint: EndpointState, now_ms: float) -> None:
-        """Set a random recent visit, since all gateways would select an endpoint as soon as it is warm."""
+        """Set a random last attempt, so that not all gateways select a newly warm endpoint at once."""
         pretended_at_ms = now_ms - self._rng.random() * self.visit_interval_ms
         endpoint.last_attempt_at_ms = max(endpoint.last_attempt_at_ms, pretended_at_ms)
 
--- a/api_gateway/model/results.py
+++ b/api_gateway/model/results.py
@@ -66,9 +66,7 @@
     UNKNOWN_CLASS_OR_PLAN = "unknown_class_or_plan"
     NO_ENDPOINTS = "no_endpoints"  # the endpoint list is empty
     DEADLINE_PASSED = "deadline_passed"
-    OBJECTIVE_PASSED = (
-        "objective_passed"  # during earlier requests of the client, or while waiting for a counter value
-    )
+    OBJECTIVE_PASSED = "objective_passed"  # spent on earlier requests or on waiting for a counter value
     TENANT_TABLE_FULL = "tenant_table_full"
     LOAD_SHED = "load_shed"  # shed since the back end is overloaded
     OVER_QUOTA = "over_quota"
--- a/api_gateway/model/settings.py
+++ b/api_gateway/model/settings.py
@@ -120,7 +120,7 @@
         idle_connection_timeout_ms: Time after which endpoints close idle connections.
         clock_tick_ms: Resolution of the clock.
         response_slack_ms: How long after the deadline a final response may still be sent.
-        drain_grace_ms: How long a draining endpoint may still be sent requests, from the update that says so.
+        drain_grace_ms: How long an endpoint may still be sent requests after the update that it is draining.
         slow_start_min_weight: Fraction of its capacity that an endpoint has when it starts.
         slow_start_ms: Time from its start after which an endpoint has its full capacity.
         overload_multiple: Load that overloads an endpoint in slow start, as a multiple of its capacity.
