--- a/api_gateway/network/__init__.py
+++ b/api_gateway/network/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway on real sockets: everything round the decision module."""
+"""Network layer: connects the decisions to clients, endpoints, the counter and discovery."""
--- a/api_gateway/network/clock.py
+++ b/api_gateway/network/clock.py
@@ -1,4 +1,4 @@
-"""The clock of the decisions, and the measurement of how far the event loop runs behind."""
+"""Clock of the decisions, and measurement of the lag of the event loop."""
 
 from __future__ import annotations
 
@@ -6,30 +6,32 @@
 import time
 
 # After a stall, the event loop runs an overdue timer before it reads a response that arrived in time. So a
-# timeout is acted on this long after its timer, which is a turn or two of the loop.
+# timeout takes effect this long after its timer has fired, which gives the loop one or two turns to read.
 TIMEOUT_READ_DELAY_S = 0.002
 
 LAG_CHECK_INTERVAL_S = 0.05
-MIN_LAG_MS = 5.0  # less than this is ordinary jitter
+
+# A delay below this is ordinary timer jitter and not regarded as lag.
+MIN_LAG_MS = 5.0
 LAG_RESET_DELAY_S = 0.001
 
 
 class Clock:
-    """Unix time, which all gateways share, but never set back while the process runs."""
+    """Unix time, which is comparable between gateways, but never goes back while the process runs."""
 
     def __init__(self) -> None:
         self._offset_s = time.time() - time.monotonic()
 
     def now_ms(self) -> float:
-        """Return the time in ms of Unix time."""
+        """Return the current Unix time in ms."""
         return (self._offset_s + time.monotonic()) * 1000
 
 
 class EventLoopLag:
     """Measures the lag of the event loop with a timer that is due every `LAG_CHECK_INTERVAL_S`.
 
-    After a stall the lag is kept until the sockets have been read: data read then may have been unread for as
-    long.
+    After a stall, the lag is kept until the sockets have been read, since data that is read then may have
+    been unread for as long as the stall lasted.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -38,17 +40,18 @@
         self._due_at = time.monotonic() + LAG_CHECK_INTERVAL_S
 
     def start(self) -> None:
-        """Begin to measure."""
+        """Start the measurement."""
         self._due_at = time.monotonic() + LAG_CHECK_INTERVAL_S
         self._loop.call_later(LAG_CHECK_INTERVAL_S, self._measure)
 
     def lag_ms(self, now: float) -> float:
-        """Return how long, at most, data that is read now has been unread, in ms.
+        """Return for how long, in ms, data that is read now may have been unread.
 
         Args:
-            now: The time by `time.monotonic`.
+            now: Current time in s of `time.monotonic`.
         """
-        # A loop that was stopped in its poll reads sockets before it runs the timer that is overdue.
+        # If the process was stopped while the loop polled the sockets, the loop reads them before it runs the
+        # overdue timer.
         overdue_ms = (now - self._due_at) * 1000
         return overdue_ms if overdue_ms > MIN_LAG_MS else self._lag_ms
 
--- a/api_gateway/network/counter.py
+++ b/api_gateway/network/counter.py
@@ -1,4 +1,4 @@
-"""The client of the counter, which adds up what all gateways count."""
+"""Client of the counter, a service that sums the increments of all gateways."""
 
 from __future__ import annotations
 
@@ -11,12 +11,16 @@
 from api_gateway.network.address import Address
 from api_gateway.network.counter_connection import CounterCall, CounterConnection
 
-CONNECTION_COUNT = 4  # a slow part of the counter delays only the calls that share a connection with its own
-COUNTER_READ_DELAY_S = 0.001  # as clock.TIMEOUT_READ_DELAY_S, but one turn of the loop
+# With several connections, a slow part of the counter delays only the calls that share a connection with
+# calls to that part.
+CONNECTION_COUNT = 4
+
+# Serves the same purpose as clock.TIMEOUT_READ_DELAY_S, but gives the event loop one turn only.
+COUNTER_READ_DELAY_S = 0.001
 
 
 class CounterClient:
-    """Makes calls to the counter over a few kept connections, and reports exactly one result for each."""
+    """Calls the counter over a few persistent connections, and reports exactly one result for each call."""
 
     def __init__(
         self,
@@ -26,14 +30,14 @@
         on_reply: Callable[[CounterReply], None],
         connection_count: int = CONNECTION_COUNT,
     ) -> None:
-        """Prepare a client; `start` establishes its connections.
+        """Create a client; `start` establishes its connections.
 
         Args:
             loop: The event loop.
             address: Host and port of the counter.
-            timeout_ms: Time within which a call must be answered.
+            timeout_ms: Time within which the response to a call must arrive.
             on_reply: Called with the result of each call.
-            connection_count: Count of the connections.
+            connection_count: Number of connections.
         """
         self._loop = loop
         self._timeout_s = timeout_ms / 1000
@@ -52,7 +56,7 @@
             connection.stop()
 
     def change_address(self, address: Address) -> None:
-        """Call another counter from now on; calls that were written finish on the old connections.
+        """Use another counter for new calls; calls that were written finish on the old connections.
 
         Args:
             address: Host and port of the new counter.
@@ -64,10 +68,10 @@
                 self._assign(call)
 
     def increment(self, action: IncrementCounter) -> None:
-        """Make one call.
+        """Call the counter once.
 
         Args:
-            action: The count and what is added to it.
+            action: The name of the count and the amount to add.
         """
         call = CounterCall(action, self._loop.time())
         call.timer = self._loop.call_later(self._timeout_s, self._on_timeout, call)
@@ -84,7 +88,7 @@
             self._report(call, CounterResult.CONNECT_FAILED)
 
     def _connection_load(self, connection: CounterConnection) -> int:
-        """Return the calls in flight, counting one that is not established as more heavily loaded."""
+        """Return the number of calls in flight, plus a penalty if the connection is not established."""
         return connection.calls_in_flight + (0 if connection.is_connected else self._connection_count)
 
     def _report(self, call: CounterCall, result: CounterResult, counter_value: float = 0.0) -> None:
@@ -97,7 +101,7 @@
         self._on_reply(CounterReply(call.action.name, result, counter_value, duration_ms))
 
     def _on_timeout(self, call: CounterCall) -> None:
-        # A stalled loop fires this timer before it reads a response that has arrived in time.
+        # After a stall, the event loop runs this timer before it reads a response that arrived in time.
         call.timer = self._loop.call_later(COUNTER_READ_DELAY_S, self._on_read_delay_elapsed, call)
 
     def _on_read_delay_elapsed(self, call: CounterCall) -> None:
@@ -107,11 +111,11 @@
         self._report(call, CounterResult.TIMED_OUT if call.is_written else CounterResult.CONNECT_FAILED)
 
     def _is_single_connection_failure(self, call: CounterCall) -> bool:
-        """Return whether the connection of a late call is silent while the counter answers on others.
+        """Return whether the connection of a late call is silent while the counter responds on others.
 
         A network path or a proxy may fail for a single connection. If the calls on it were reported as timed
-        out, the counter would be taken for down. A slow part of the counter delays calls on more than one
-        connection, and a counter that is down answers on none.
+        out, the counter would be considered down. A slow part of the counter, in contrast, delays calls on
+        more than one connection, and a counter that is down responds on none.
         """
         others = [connection for connection in self._connections if connection is not call.connection]
         late_before = self._loop.time() - self._timeout_s / 2
--- a/api_gateway/network/counter_codec.py
+++ b/api_gateway/network/counter_codec.py
@@ -1,15 +1,16 @@
-"""Codec of the counter's wire: the request of an increment, and the total that answers it."""
+"""Encodes the requests to the counter and decodes its responses."""
 
 from __future__ import annotations
 
 from api_gateway.model.actions import IncrementCounter
 from api_gateway.network.response_parser import Response, parse_decimal
 
-STATUSES_WITHOUT_INCREMENT = frozenset((400, 404, 503))  # the counter has added nothing
+# Status codes that guarantee that the counter has not added the amount.
+STATUSES_WITHOUT_INCREMENT = frozenset((400, 404, 503))
 
 
 def encode_increment(action: IncrementCounter) -> bytes:
-    """Return the request that adds to a count."""
+    """Return the HTTP request that adds an amount to a count."""
     ttl_ms = max(1, round(action.ttl_ms))
     return (
         f"POST /v1/count/{action.name}?add={_format_decimal(action.amount)}&ttl_ms={ttl_ms}"
@@ -18,10 +19,10 @@
 
 
 def decode_counter_value(response: Response) -> float | None:
-    """Return the total of the count after the increment; None if the response has none."""
+    """Return the counter value after the increment, or None if the response has none."""
     return parse_decimal(response.body.strip()) if response.status == 200 else None
 
 
 def _format_decimal(amount: float) -> str:
-    """Return a number as decimal digits, without an exponent, which the counter does not accept."""
+    """Format a number without an exponent, which the counter does not accept."""
     return f"{amount:.6f}".rstrip("0").rstrip(".")
--- a/api_gateway/network/counter_connection.py
+++ b/api_gateway/network/counter_connection.py
@@ -1,4 +1,4 @@
-"""One kept connection to the counter: its calls in flight, its end, and its replacement."""
+"""A persistent connection to the counter: its calls in flight, and its replacement when it ends."""
 
 from __future__ import annotations
 
@@ -21,7 +21,11 @@
 log = logging.getLogger(__name__)
 
 CONNECT_TIMEOUT_S = 0.25
-RESPONSE_TIMEOUT_S = 1.0  # if the network to the counter fails, connections stay open without a response
+
+# A connection without a response for this long is closed: if the network to the counter fails, connections
+# stay open without one.
+RESPONSE_TIMEOUT_S = 1.0
+
 BACKOFF_BASE_S = 0.05
 MAX_BACKOFF_S = 1.0
 MAX_BACKOFF_DOUBLINGS = 10
@@ -29,15 +33,16 @@
 
 @dataclass(slots=True, eq=False)
 class CounterCall:
-    """One call to the counter until its result is reported.
+    """One call to the counter, until its result is reported.
 
     Attributes:
-        action: The count and what is added to it.
-        started_at: When the call was made, in seconds of the loop's clock.
-        timer: Its timeout.
+        action: The name of the count and the amount to add.
+        started_at: When the call was made, in s of event-loop time.
+        timer: Timer of its timeout.
         connection: The connection that it was assigned to.
-        is_written: Whether its last byte has left this process, so that the counter may have added.
-        is_done: Whether its result was reported.
+        is_written: Whether its last byte has left this process, so that the counter may have added the
+            amount.
+        is_done: Whether its result has been reported.
     """
 
     action: IncrementCounter
@@ -54,17 +59,18 @@
 class CounterConnection:
     """A connection to the counter that is replaced when it ends.
 
-    Calls are written one behind another, and their responses arrive in the same order. A call that has timed
-    out keeps its place, so that its late response is not taken for that of the next call.
+    Calls are pipelined: several are written without waiting, and their responses arrive in the same order. A
+    call that has timed out keeps its place, so that its late response is not matched to the next call.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, address: Address, on_result: ResultCallback) -> None:
-        """Prepare a connection; `connect` or the first call establishes it.
+        """Create a connection; `connect` or the first call establishes it.
 
         Args:
             loop: The event loop.
             address: Host and port of the counter.
-            on_result: Called with each call, its result, and the total if the result is OK.
+            on_result: Called with each call, its result, and the counter value, which is 0 unless the result
+                is OK.
         """
         self._loop = loop
         self._address = address
@@ -78,7 +84,7 @@
         self._consecutive_failures = 0
         self._last_response_at = 0.0
         self._backoff_until = 0.0
-        self._is_retired = False  # closes with its last call, and is not replaced
+        self._is_retired = False  # closed after its last call, and not replaced
 
     # --- State ---------------------------------------------------------------------------------------------
 
@@ -89,25 +95,25 @@
 
     @property
     def calls_in_flight(self) -> int:
-        """Count of the calls that wait for a response, or for the connection to be established."""
+        """Number of calls that wait for a response, or for the connection to be established."""
         return len(self._calls)
 
     def is_usable(self) -> bool:
         """Return whether a call may be written now, or wait for the connection to be established.
 
-        A connection that is closing is not usable: its end is reported in this turn of the loop or the next,
-        and fails what was written to it until then.
+        A connection that is closing is not usable: its end is reported in this turn of the event loop or the
+        next, and calls that are written to it until then fail.
         """
         if self._protocol is not None:
             return not self._protocol.transport.is_closing()
         return self._connect_task is not None or self._loop.time() >= self._backoff_until
 
     def is_silent_since(self, loop_time: float) -> bool:
-        """Return whether no response has arrived since a time of the loop's clock."""
+        """Return whether no response has arrived since `loop_time`, in s of event-loop time."""
         return self._last_response_at < loop_time
 
     def has_call_started_before(self, loop_time: float) -> bool:
-        """Return whether a call made before a time of the loop's clock is still in flight."""
+        """Return whether a call made before `loop_time`, in s of event-loop time, is still in flight."""
         return bool(self._calls) and self._calls[0].started_at < loop_time
 
     # --- Commands ------------------------------------------------------------------------------------------
@@ -121,7 +127,7 @@
         self._connect_timer = self._loop.call_later(CONNECT_TIMEOUT_S, self._connect_task.cancel)
 
     def submit(self, call: CounterCall) -> None:
-        """Write a call, as soon as the connection is established.
+        """Write a call, once the connection is established.
 
         Args:
             call: The call; its result is reported once.
@@ -134,7 +140,7 @@
             self.connect()
 
     def stop(self) -> None:
-        """Close the connection; it is not replaced."""
+        """Close the connection without replacing it."""
         self._is_retired = True
         if self._reconnect_timer is not None:
             self._reconnect_timer.cancel()
@@ -144,10 +150,10 @@
             self._protocol.abort()
 
     def retire(self) -> list[CounterCall]:
-        """Close the connection once the calls that were written are answered; it is not replaced.
+        """Close the connection once all written calls have a response, without replacing it.
 
         Returns:
-            The calls that were never written; another connection may take them.
+            The calls that were not written, which may be submitted to another connection.
         """
         self._is_retired = True
         if self._protocol is not None:
@@ -160,7 +166,7 @@
         return unwritten
 
     def close_and_replace(self) -> None:
-        """Close a connection that has become silent, and replace it."""
+        """Close and replace a connection on which responses have stopped."""
         self._protocol.abort()
         self._fail_calls(CounterResult.CONNECTION_LOST)
 
@@ -169,8 +175,8 @@
     def handle_connected(self, protocol: CounterProtocol) -> None:
         """Write the calls that were submitted before the connection was established.
 
-        This is reported by the protocol and not by the task of `connect`: a connection that is reset at once
-        has ended before its task is done.
+        The protocol reports this, rather than the task of `connect`, because a connection that is reset at
+        once has ended before that task is done.
 
         Args:
             protocol: The protocol of the new connection.
@@ -181,13 +187,14 @@
         if self._is_retired:
             self._protocol.abort()
             return
-        # A call that timed out before it was written was reported as not added, and must not be written now.
+        # A call that timed out before it was written has been reported as not added, so it must not be
+        # written.
         self._calls = deque(call for call in self._calls if not call.is_done)
         for call in self._calls:
             self._write(call)
 
     def handle_write_completed(self) -> None:
-        """Mark all calls as written, when the last byte has left this process."""
+        """Mark all calls as written, because the last byte has left this process."""
         for call in self._calls:
             call.is_written = True
 
@@ -202,25 +209,25 @@
         self._last_response_at = self._loop.time()
         counter_value = decode_counter_value(response)
         if counter_value is None and response.status not in STATUSES_WITHOUT_INCREMENT:
-            # The counter may have added, but the responses behind this one cannot be relied on.
+            # The counter may have added the amount, and the responses after this one cannot be trusted.
             self.handle_malformed_response()
             return
         call = self._calls.popleft()
         if not is_reusable or (self._is_retired and not self._calls):
-            self._protocol.abort()  # before the result is reported, which may lead to the next call
+            self._protocol.abort()  # first, as reporting the result may submit the next call
         self._report_response(call, counter_value)
 
     def _report_response(self, call: CounterCall, counter_value: float | None) -> None:
         if counter_value is None:
             self._on_result(call, CounterResult.OVERLOADED, 0.0)
         elif self._is_retired:
-            # The total of a counter that was replaced cannot be compared with those of the new one.
+            # Values of the previous counter cannot be compared with those of the new one.
             self._on_result(call, CounterResult.MALFORMED_RESPONSE, 0.0)
         else:
             self._on_result(call, CounterResult.OK, counter_value)
 
     def handle_malformed_response(self) -> None:
-        """Close the connection: no response behind a malformed one can be matched to its call."""
+        """Close the connection, as no response after a malformed one can be matched to its call."""
         log.warning("counter_response_malformed connection=closed")
         self._protocol.abort()
         self._fail_calls(CounterResult.MALFORMED_RESPONSE)
@@ -266,7 +273,7 @@
         self._fail_calls(CounterResult.CONNECTION_LOST)
 
     def _reconnect(self) -> None:
-        # Not only at the next call: until it is established, calls share the connections that remain.
+        # Reconnect without waiting for a call: until then, all calls share the remaining connections.
         if self._protocol is None and self._connect_task is None and not self._is_retired:
             self.connect()
 
@@ -299,7 +306,7 @@
         self._connection.handle_response(response, is_reusable)
 
     def malformed_response(self) -> None:
-        """Report a response that is not HTTP."""
+        """Report a malformed HTTP response."""
         self._connection.handle_malformed_response()
 
     def connection_closed(self) -> None:
--- a/api_gateway/network/discovery.py
+++ b/api_gateway/network/discovery.py
@@ -1,4 +1,4 @@
-"""The watch on discovery's endpoint list."""
+"""Watches discovery for changes of the endpoint list."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 
 
 class DiscoveryWatch:
-    """Polls discovery for as long as the gateway runs, and passes on each endpoint list.
+    """Polls discovery while the gateway runs, and passes on each endpoint list.
 
-    One poll follows the other: connect if there is no connection, send the poll, wait for its response, and
-    poll again at once. A poll that fails is retried after a backoff with full jitter, so that gateways that
-    fail together do not retry in step. A watch that knows a list asks for its changes only, also after a
-    failure: full lists for a whole fleet at once would overload discovery.
+    The watch connects if there is no connection, sends a poll, waits for its response, and polls again at
+    once. A failed poll is retried after a backoff with full jitter, so that gateways that fail together do
+    not retry at the same time. A watch that knows a list requests only its changes, even after a failure,
+    because sending full lists to a whole fleet at once would overload discovery.
 
-    A long poll that gets no response cannot be distinguished from one without a change. So polls wait for a
-    short time only, and the first poll after a failure does not wait and detects at once whether discovery
-    answers.
+    While a long poll has no response, a lost response cannot be distinguished from the absence of changes. So
+    long polls are short, and the first poll after a failure does not wait for a change, which shows at once
+    whether discovery responds.
     """
 
     def __init__(
@@ -46,47 +46,47 @@
         known_generation: int | None = None,
         policy: PollPolicy | None = None,
     ) -> None:
-        """Prepare a watch; `start` sends the first poll.
+        """Create a watch; `start` sends the first poll.
 
         Args:
             loop: The event loop.
             address: Host and port of discovery.
             on_update: Called with each endpoint list.
-            rng: Source of the jitter.
-            known_generation: Generation of the list that is known; None if there is none.
-            policy: Timeouts and backoff; that of an agent on this machine by default.
+            rng: Random number generator for the jitter.
+            known_generation: Generation of the list that is known; None to request the full list.
+            policy: Timeouts and backoff; by default those for an agent on this machine.
         """
         self._loop = loop
         self._address = address
         self._on_update = on_update
         self._rng = rng
         self._policy = policy if policy is not None else PollPolicy()
-        self._generation = known_generation  # None: the next poll asks for the full list
-        self._is_up_to_date = False  # the last poll was answered
-        self._has_timed_out = False  # since the last response; logged once
+        self._generation = known_generation  # None: the next poll requests the full list
+        self._is_up_to_date = False  # the next poll may wait for a change
+        self._has_timed_out = False  # since the last response, to log only the first timeout
         self._connect_task: asyncio.Task | None = None
         self._connection: DiscoveryConnection | None = None
-        self._timer: asyncio.TimerHandle | None = None  # the timeout of a step, or a delay before a poll
+        self._timer: asyncio.TimerHandle | None = None  # timeout of a step, or delay before a poll
         self._consecutive_failures = 0
         self._consecutive_rejections = 0
         self._poll_started_at = 0.0
-        self._received_bytes = 0  # of the response, when its timeout was last checked
+        self._received_bytes = 0  # size of the response when its timeout was last checked
         self._is_stopped = False
 
     @property
     def generation(self) -> int | None:
-        """Generation of the list that is known; None if the next poll asks for the full list."""
+        """Generation of the list that is known; None if the next poll requests the full list."""
         return self._generation
 
     def start(self) -> None:
-        """Send the first poll, at once or spread over the time that the fleet's polls take."""
+        """Send the first poll, at once or after a random delay that spreads the polls of the fleet."""
         if self._generation is None or self._policy.is_agent:
             self._poll()
         else:
             self._start_timer(self._policy.spread_s * self._rng.random(), self._poll)
 
     def stop(self) -> None:
-        """End the watch."""
+        """Stop polling and close the connection."""
         self._is_stopped = True
         self._cancel_timer()
         if self._connect_task is not None:
@@ -95,7 +95,7 @@
             self._connection.abort()
 
     def change_address(self, address: Address) -> None:
-        """Poll another discovery, from its full list on; the list that is known is kept until then.
+        """Poll another discovery, first for its full list; the known list is kept until that arrives.
 
         Args:
             address: Host and port of the new discovery.
@@ -135,7 +135,7 @@
 
     def _on_connect_done(self, task: asyncio.Task) -> None:
         has_failed = task.cancelled() or task.exception() is not None
-        if task is not self._connect_task:  # the address has changed meanwhile
+        if task is not self._connect_task:  # the address has changed in the meantime
             if not has_failed:
                 task.result()[1].abort()
             return
@@ -144,7 +144,7 @@
             self._back_off()
             return
         self._connection = task.result()[1]
-        if self._connection.is_closed:  # its end was reported before it was known here
+        if self._connection.is_closed:  # it ended before this callback ran
             self.handle_disconnect(self._connection)
         else:
             self._send_poll(self._connection)
@@ -160,7 +160,7 @@
         """Pass on the endpoint list of a response, and send the next poll.
 
         Args:
-            connection: The connection that it arrived on.
+            connection: The connection on which the response arrived.
             response: The response.
             is_reusable: Whether the connection can carry another poll.
         """
@@ -173,7 +173,7 @@
             endpoint_list = self._decode(response.body)
         except MalformedEndpointListError as error:
             log.warning('discovery_response_malformed error="%s" endpoints=kept', error)
-            self._generation = None  # the full list brings whatever was missed
+            self._generation = None  # the full list includes the changes that were missed
             connection.abort()
             return
         self._generation = endpoint_list.generation
@@ -183,11 +183,11 @@
         if not is_reusable:
             self._connection = None
             connection.abort()
-        self._poll()  # before the update is handled, which takes time
+        self._poll()  # first, as handling the update takes time
         self._on_update(endpoint_list)
 
     def _handle_rejection(self, connection: DiscoveryConnection, status: int) -> None:
-        # The generation stays known: full lists are the largest load for a discovery that is overloaded.
+        # The generation is kept, since full lists would be the largest load for an overloaded discovery.
         log.warning("discovery_poll_rejected status=%d endpoints=kept", status)
         self._consecutive_rejections += 1
         connection.abort()
@@ -197,13 +197,16 @@
         if endpoint_list.is_full:
             return endpoint_list
         if self._generation is None or endpoint_list.generation < self._generation:
-            raise MalformedEndpointListError("changes to a list that was never sent")
+            raise MalformedEndpointListError(
+                f"expected a full list or changes since generation {self._generation}, "
+                f"got changes of generation {endpoint_list.generation}"
+            )
         return endpoint_list
 
     # --- Failure -------------------------------------------------------------------------------------------
 
     def handle_disconnect(self, connection: DiscoveryConnection) -> None:
-        """Retry after a connection was closed by either side.
+        """Schedule the next poll after the connection was closed by either side.
 
         Args:
             connection: The connection that was closed.
@@ -211,12 +214,12 @@
         if connection is not self._connection:
             return
         self._connection = None
-        # A long poll brings what was missed as well, at less load for a service than one without a wait.
+        # A long poll returns missed changes, too, and is less load for a service than a poll without a wait.
         self._is_up_to_date = self._is_up_to_date and not self._policy.is_agent
         self._back_off()
 
     def _on_timeout(self) -> None:
-        # A stalled loop fires this timer before it reads a response that has arrived in time.
+        # After a stall, the event loop runs this timer before it reads a response that arrived in time.
         self._timer = self._loop.call_later(TIMEOUT_READ_DELAY_S, self._on_read_delay_elapsed)
 
     def _on_read_delay_elapsed(self) -> None:
@@ -226,7 +229,7 @@
             self._time_out_poll()
 
     def _is_progressing(self) -> bool:
-        """Return whether more of a full list has arrived since this was checked last."""
+        """Return whether more of a full list has arrived since the last check."""
         if self._connection is None or self._generation is not None:
             return False
         previous_bytes, self._received_bytes = self._received_bytes, self._connection.received_bytes()
@@ -269,7 +272,7 @@
     """One connection to discovery.
 
     Attributes:
-        is_closed: Whether its end has been reported.
+        is_closed: Whether the end of the connection has been reported.
     """
 
     def __init__(self, watch: DiscoveryWatch) -> None:
@@ -282,7 +285,7 @@
         self._watch.handle_response(self, response, is_reusable)
 
     def malformed_response(self) -> None:
-        """Log a response that is not HTTP; the connection is closed next."""
+        """Log a malformed HTTP response; the connection is closed afterwards."""
         log.warning("discovery_response_unreadable endpoints=kept")
 
     def connection_closed(self) -> None:
--- a/api_gateway/network/discovery_codec.py
+++ b/api_gateway/network/discovery_codec.py
@@ -1,4 +1,4 @@
-"""Codec of discovery's wire: the request of a poll, and the endpoint list that answers it."""
+"""Encodes the polls to discovery and decodes the endpoint lists that it returns."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointList:
-    """One answer of discovery.
+    """An endpoint list as returned by discovery, either full or with the changes only.
 
     Attributes:
-        generation: Number of the list; each change raises it.
-        is_full: Whether `endpoints` are all endpoints, and not only those that have changed.
+        generation: Number of the list, which each change increases.
+        is_full: Whether `endpoints` holds all endpoints, and not only those that have changed.
         endpoints: The endpoints.
-        addresses: Host and port by the name of the endpoint; removed endpoints have none.
+        addresses: Host and port by endpoint name; removed endpoints have none.
     """
 
     generation: int
@@ -34,18 +34,18 @@
 
 
 def encode_poll(known_generation: int | None, wait_ms: int) -> bytes:
-    """Return the request for the full list, or for its changes.
+    """Return the HTTP request for the full list, or for the changes since a generation.
 
     Args:
-        known_generation: Generation of the list that is known; None to ask for the full list.
-        wait_ms: How long discovery may wait for a change before it answers.
+        known_generation: Generation of the list that is known; None to request the full list.
+        wait_ms: How long discovery may wait for a change before it responds; not sent for the full list.
     """
     query = "" if known_generation is None else f"?after={known_generation}&wait_ms={wait_ms}"
     return f"GET /v1/endpoints{query} HTTP/1.1\r\nHost: discovery\r\n\r\n".encode()
 
 
 def decode_endpoint_list(body: bytes) -> EndpointList:
-    """Convert the body of a response.
+    """Decode the body of a response.
 
     Raises:
         MalformedEndpointListError: The body is not an endpoint list in JSON.
@@ -58,7 +58,7 @@
 
 
 def parse_endpoint_list(raw: object) -> EndpointList:
-    """Convert the JSON value of an endpoint list.
+    """Convert the decoded JSON value of an endpoint list.
 
     Raises:
         MalformedEndpointListError: The value is not an endpoint list.
@@ -84,7 +84,8 @@
     name = entry.get("instanceId")
     if not isinstance(name, str) or not name:
         raise MalformedEndpointListError("an instance without instanceId")
-    # An unknown lifecycle, such as one of a later version of discovery, may not accept new requests.
+    # An instance with an unknown lifecycle, such as one that a later version of discovery defines, may not
+    # accept new requests.
     status = STATUS_BY_LIFECYCLE.get(entry.get("lifecycle"), EndpointStatus.DRAINING)
     address = None if status is EndpointStatus.REMOVED else _parse_address(name, entry)
     try:
--- a/api_gateway/network/discovery_policy.py
+++ b/api_gateway/network/discovery_policy.py
@@ -1,15 +1,15 @@
 """Timeouts and backoff of the polls to discovery.
 
-Discovery is either an agent on this machine, which answers at once, or a service that the whole fleet polls
-and that serves its requests one after another.
+Discovery is either an agent on this machine, which responds at once, or a service that the whole fleet polls
+and that processes its requests one after another.
 
-A change must be known within 6 s after discovery has it and can be reached, whatever failed before. The worst
-case is a change right after a poll has started: MAX_POLL_CYCLE_S and MIN_BACKOFF_LIMIT_S pass until the next
-poll starts, which takes CONNECT_TIMEOUT_S and RESPONSE_TIMEOUT_S at most. The sum is 5.7 s, whatever the size
-of the fleet.
+A gateway must know a change within 6 s after discovery knows it and can be reached, whatever failed before.
+In the worst case, the change comes right after a poll has started: the next poll starts up to
+MAX_POLL_CYCLE_S plus MIN_BACKOFF_LIMIT_S later, and takes up to CONNECT_TIMEOUT_S plus RESPONSE_TIMEOUT_S.
+The sum is 5.7 s, whatever the size of the fleet.
 
-A fleet of N gateways makes N / 2 long polls a second where nothing changes. After an outage, discovery must
-answer N polls within 5.6 s; if it serves fewer, not every gateway learns of a change in time.
+A fleet of N gateways sends N / 2 long polls per second while there are no changes. After an outage, discovery
+must respond to N polls within 5.6 s; otherwise, some gateways learn of a change too late.
 """
 
 from __future__ import annotations
@@ -18,22 +18,45 @@
 
 from api_gateway.model.settings import Settings
 
-MAX_POLL_CYCLE_S = 2.8  # from the start of one poll to the start of the next, unless it was answered
+# A failed poll is retried within this time from its start, or at most MIN_BACKOFF_LIMIT_S after it has
+# failed.
+MAX_POLL_CYCLE_S = 2.8
 CONNECT_TIMEOUT_S = 0.6
-RESPONSE_TIMEOUT_S = 2.2  # of a poll that does not wait for a change, queued behind other gateways' polls
-LONG_POLL_WAIT_MS = 2000  # how long a poll waits for a change
-LONG_POLL_MARGIN_S = 0.6  # beyond LONG_POLL_WAIT_MS; discovery has served the poll before it waited
-CATCH_UP_WAIT_MS = 1  # the first poll after a failure does not wait: a missing response is detected at once
-AGENT_TIMEOUT_S = 0.2  # to connect, and beyond the wait of a poll
-FULL_LIST_TIMEOUT_S = 30.0  # of a full list while more of it arrives
-PROGRESS_TIMEOUT_S = 0.6  # between two parts of it
+
+# Response timeout of a poll that does not wait for a change, but may be queued behind those of other
+# gateways.
+RESPONSE_TIMEOUT_S = 2.2
+
+# How long discovery holds a long poll while there is no change.
+LONG_POLL_WAIT_MS = 2000
+
+# Time for the response to a long poll beyond LONG_POLL_WAIT_MS. It is shorter than RESPONSE_TIMEOUT_S because
+# a long poll leaves the queue of discovery before its wait begins.
+LONG_POLL_MARGIN_S = 0.6
+
+# The first poll after a failure does not wait for a change, so that a missing response is detected at once.
+CATCH_UP_WAIT_MS = 1
+
+# Timeout of a connect to an agent, and of its response to a poll beyond the wait of that poll.
+AGENT_TIMEOUT_S = 0.2
+
+# Timeout of a full list of which more keeps arriving.
+FULL_LIST_TIMEOUT_S = 30.0
+
+# Maximum time without more data of a full list, once the response timeout has passed.
+PROGRESS_TIMEOUT_S = 0.6
 
 BACKOFF_BASE_S = 0.05
-MIN_BACKOFF_LIMIT_S = 0.1  # a poll that used up its cycle is retried within this time; an agent always
+
+# Limit of the backoff after a poll that took a whole MAX_POLL_CYCLE_S, and of each backoff for an agent.
+MIN_BACKOFF_LIMIT_S = 0.1
 MAX_BACKOFF_DOUBLINGS = 10
 
-POLL_SERVICE_TIME_S = 0.2  # that the service may take for one poll
-MAX_SPREAD_FRACTION = 0.8  # of the interval in which a gateway must poll
+# Time that the service may take to process one poll.
+POLL_SERVICE_TIME_S = 0.2
+
+# The first polls of a fleet are spread over at most this fraction of the maximum poll interval.
+MAX_SPREAD_FRACTION = 0.8
 
 
 @dataclass(slots=True, frozen=True)
@@ -41,8 +64,8 @@
     """When discovery is polled, and how long each step may take.
 
     Attributes:
-        spread_s: Time over which the fleet's first polls and its rejected ones are spread at random; 0 if
-            discovery is an agent on this machine.
+        spread_s: Time over which the first polls of the fleet and its retries of rejected polls are spread at
+            random; 0 if discovery is an agent on this machine.
     """
 
     spread_s: float = 0.0
@@ -51,12 +74,12 @@
     def for_settings(cls, settings: Settings, max_poll_interval_ms: float) -> PollPolicy:
         """Return the policy of one gateway.
 
-        The service also serves polls that have timed out. If the whole fleet polled at once, it would serve
-        mostly those, so the first polls are spread, but over no more than a cycle.
+        The service also processes polls that have timed out at the gateway. If the whole fleet polled at
+        once, it would mostly process those. So the first polls are spread, but over at most MAX_POLL_CYCLE_S.
 
         Args:
             settings: The settings of the gateway.
-            max_poll_interval_ms: A gateway must poll at least this often.
+            max_poll_interval_ms: Longest time that a gateway may let pass without a poll.
         """
         if not settings.discovery_by_polling:
             return cls()
@@ -74,22 +97,23 @@
         return not self.spread_s
 
     def connect_timeout_s(self) -> float:
-        """Return the time within which a connection must be established."""
+        """Return the time in s within which a connection must be established."""
         return AGENT_TIMEOUT_S if self.is_agent else CONNECT_TIMEOUT_S
 
     def wait_ms(self, is_up_to_date: bool) -> int:
-        """Return how long the next poll waits for a change.
+        """Return how long the next poll waits for a change, in ms.
 
         Args:
-            is_up_to_date: Whether the last poll was answered.
+            is_up_to_date: Whether the poll may wait for a change, because no poll has timed out since the
+                last response.
         """
         return LONG_POLL_WAIT_MS if is_up_to_date else CATCH_UP_WAIT_MS
 
     def response_timeout_s(self, wait_ms: float) -> float:
-        """Return the time within which the response to a poll must arrive.
+        """Return the time in s within which the response to a poll must arrive.
 
         Args:
-            wait_ms: How long the poll waits for a change.
+            wait_ms: How long the poll waits for a change, in ms.
         """
         if self.is_agent:
             return wait_ms / 1000 + AGENT_TIMEOUT_S
@@ -98,23 +122,23 @@
         return RESPONSE_TIMEOUT_S
 
     def progress_timeout_s(self) -> float:
-        """Return the time within which more of a full list must arrive."""
+        """Return the time in s within which more of a full list must arrive."""
         return PROGRESS_TIMEOUT_S
 
     def full_list_timeout_s(self) -> float:
-        """Return the time within which the whole of a full list must arrive."""
+        """Return the time in s within which a full list must arrive completely."""
         return FULL_LIST_TIMEOUT_S
 
     def backoff_limit_s(
         self, *, consecutive_failures: int, consecutive_rejections: int, started_at: float, now: float
     ) -> float:
-        """Return the upper limit of the random delay before the next poll (full jitter).
+        """Return the upper limit, in s, of the random delay before the next poll (full jitter).
 
         Args:
-            consecutive_failures: Polls in a row that failed, the rejected ones included.
-            consecutive_rejections: Polls in a row that were rejected with a status.
-            started_at: When the last poll started, in seconds of the loop's clock.
-            now: The time now, by the same clock.
+            consecutive_failures: Number of failed polls since the last success, rejected ones included.
+            consecutive_rejections: Number of polls rejected with a status code since the last success.
+            started_at: When the last poll started, in s of event-loop time.
+            now: Current event-loop time in s.
         """
         limit_s = BACKOFF_BASE_S * 2 ** min(consecutive_failures, MAX_BACKOFF_DOUBLINGS)
         if consecutive_rejections and self.spread_s:
--- a/api_gateway/network/dispatcher.py
+++ b/api_gateway/network/dispatcher.py
@@ -1,4 +1,7 @@
-"""Connects the decisions to the network: events of the sockets in, actions of the decisions out."""
+"""Connects the gateway's decisions to the network.
+
+Network events are passed to the decisions, and the actions that they return are executed.
+"""
 
 from __future__ import annotations
 
@@ -35,22 +38,25 @@
 
 log = logging.getLogger(__name__)
 
-INITIAL_ENDPOINT_LIST_TIMEOUT_S = 1.0  # after this, requests are served with the configured endpoint list
+# If discovery sends no endpoint list within this time after the start, requests are served with the endpoint
+# list of the configuration.
+INITIAL_ENDPOINT_LIST_TIMEOUT_S = 1.0
 
 
 class Dispatcher:
-    """Hands events to the decisions and executes the actions that they return.
+    """Passes events to the decisions and executes the actions that they return.
 
     Args:
         configuration: The gateway's configuration.
         loop: The event loop.
-        pool_class: The pool of upstream connections; a simulated one may take its place.
+        pool_class: Class of the upstream connection pool, which may be a simulated one.
 
     Attributes:
-        settings: The settings of the configuration.
-        startup_complete: Set once discovery has sent a list, or has not answered in time.
-        is_draining: Whether the process is shutting down; set from outside.
-        is_terminated: Whether all pending requests have been failed and no new ones are accepted.
+        settings: The settings from the configuration.
+        startup_complete: Set when clients may be accepted: discovery has sent an endpoint list, or the time
+            to wait for it has passed.
+        is_draining: Whether a graceful shutdown has begun; set by the code that shuts the process down.
+        is_terminated: Whether all open requests have been failed and no new ones are accepted.
     """
 
     def __init__(
@@ -89,7 +95,7 @@
             loop=self._loop,
             address=configuration.discovery,
             on_update=self._endpoints_updated,
-            # Not the generator of the decisions, whose draws must depend on their events only.
+            # A generator of its own, since the draws of the decisions must depend on their events only.
             rng=random.Random(configuration.seed ^ 1),
             known_generation=cached.generation if cached.endpoints else None,
             policy=PollPolicy.for_settings(configuration.settings, configuration.max_poll_interval_ms),
@@ -108,7 +114,7 @@
     # --- Startup and shutdown -----------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Begin with the configured endpoint list; then watch discovery and connect to the counter."""
+        """Apply the configured endpoint list, then watch discovery and connect to the counter."""
         self._started_at = time.monotonic()
         self._apply_endpoint_list(self._cached_endpoint_list, UpdateKind.CACHED)
         self._pool.start()
@@ -116,28 +122,29 @@
         if self._counter is not None:
             self._counter.start()
         self._lag.start()
-        # An agent on this machine answers at once. Where discovery is polled, its answer may take long, and
-        # clients are accepted before it.
+        # A discovery agent on this machine responds at once. A discovery service that the whole fleet polls
+        # may take long to respond, so clients are accepted without waiting for it.
         timeout_s = 0.0 if self.settings.discovery_by_polling else INITIAL_ENDPOINT_LIST_TIMEOUT_S
         self._loop.call_later(timeout_s, self.startup_complete.set)
 
     def stop(self) -> None:
-        """Close all connections to discovery, endpoints and counter."""
+        """Close all connections to discovery, the endpoints and the counter."""
         self._discovery.stop()
         self._pool.stop()
         if self._counter is not None:
             self._counter.stop()
 
     def reload(self, configuration: Configuration) -> None:
-        """Use the discovery and the counter of a new configuration; all else stays as it was."""
+        """Use the discovery and counter addresses of a new configuration; everything else stays unchanged."""
         self._discovery.change_address(configuration.discovery)
         if self._counter is not None and configuration.counter is not None:
             self._counter.change_address(configuration.counter)
 
     def is_ready(self) -> bool:
-        """Return whether requests can be served.
+        """Return whether the gateway can serve requests.
 
-        Endpoints must be known, from discovery if it has answered in time.
+        It must know at least one endpoint and not be draining. Without a response from discovery, it is ready
+        `INITIAL_ENDPOINT_LIST_TIMEOUT_S` after the start.
         """
         if self.is_draining or not self._pool.endpoint_names():
             return False
@@ -147,7 +154,7 @@
         )
 
     def fail_pending_requests(self) -> None:
-        """Answer all open requests as failed and start nothing more: the process is about to exit."""
+        """Respond to all open requests with 504 and accept no new ones, as the process is about to exit."""
         self.is_terminated = True
         self._request_handler.fail_all()
 
@@ -161,7 +168,7 @@
             inbound: The request.
 
         Returns:
-            The id for `client_disconnected`; None if a request with the same X-Request-Id is open.
+            The request id for `client_disconnected`, or None if a request with the same X-Request-Id is open.
         """
         return self._request_handler.submit(client, inbound)
 
@@ -190,12 +197,15 @@
         )
         if endpoints or kind is not UpdateKind.CHANGES:
             self._post_event(EndpointUpdate(kind, endpoints))
-        self._pool.withdraw_pending_connects()  # after the decisions have the list
+        self._pool.withdraw_pending_connects()  # after the decisions have received the list
 
     # --- Decisions ----------------------------------------------------------------------------------------
 
     def _post_event(self, event: Event) -> None:
-        """Hand events to the decisions one at a time, also those that their own actions cause."""
+        """Queue an event, and handle all queued events unless that is under way already.
+
+        Events that are posted while an action is executed are handled after the current event.
+        """
         self._events.append(event)
         if self._is_handling_event:
             return
@@ -207,7 +217,10 @@
             self._is_handling_event = False
 
     def _handle(self, event: Event) -> None:
-        """Let the decisions handle an event; an error in them costs one request only."""
+        """Pass an event to the decisions and execute the actions that they return.
+
+        An exception is logged. If the decisions raise it on a new request, that request fails with 500.
+        """
         try:
             actions = self._gateway.handle(self._clock.now_ms(), event)
         except Exception:
@@ -237,7 +250,7 @@
             case IncrementCounter():
                 self._increment_counter(action)
             case SubscribeToEndpoints():
-                pass  # the watch is always on
+                pass  # the discovery watch runs from the start
             case WriteLog():
                 log.info("%s", action.text)
 
--- a/api_gateway/network/open_requests.py
+++ b/api_gateway/network/open_requests.py
@@ -1,4 +1,4 @@
-"""The requests that are open: unanswered, or with an attempt in flight."""
+"""Open requests, which have no response yet or an attempt in flight."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
         """Send the one final response.
 
         Args:
-            status: Status code.
-            body: The body.
-            content_type: Value of Content-Type; empty for none.
-            retry_after_ms: Value of Retry-After in ms; 0 for none.
+            status: HTTP status code.
+            body: The response body.
+            content_type: Value of Content-Type; empty to omit the header.
+            retry_after_ms: Time for Retry-After; 0 to omit the header.
         """
 
     def abort_if_disconnected(self) -> bool:
@@ -35,19 +35,19 @@
 
 @dataclass(slots=True)
 class InboundRequest:
-    """A valid request of a client.
+    """A validated request from a client.
 
     Attributes:
         x_request_id: Value of X-Request-Id.
         class_name: Name of its request class.
         plan_name: Name of its tenant's plan.
-        tenant: Who is charged for it.
-        remaining_ms: How long the client waits, from when it sent the request.
+        tenant: Id of the tenant whose quota it uses.
+        remaining_ms: Time until the deadline, counted from when the client sent the request.
         units: Its size in quota units, as estimated by the client.
-        gateway_count: Gateways that this tenant's requests may come through.
-        first_gateway: Number of the first of them.
-        is_retry: Whether the client has sent it before.
-        read_at: When its last byte was read, by `time.monotonic`.
+        gateway_count: Number of gateways that receive the requests of its tenant.
+        first_gateway: Index of the first of these gateways.
+        is_retry: Whether it is a retry by the client.
+        read_at: When its last byte was read, in s of `time.monotonic`.
         head: Request line and headers for the endpoint, without `X-Deadline` and the empty line.
         body: The body.
     """
@@ -72,15 +72,15 @@
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
-    """One request from its arrival until it is answered and its last attempt has ended.
+    """A request from its arrival until it has a response and its last attempt has ended.
 
     Attributes:
         request_id: Its id within this process.
         inbound: What the client sent.
-        client: Who waits for the response; None once answered or disconnected.
-        deadline: When it is answered at the latest, by `time.monotonic`.
-        deadline_timer: Runs until `deadline`.
-        attempts: Its attempts by number; None for one that was not started.
+        client: The client that waits for the response; None once it has a response or has disconnected.
+        deadline: When it is failed if it has no response, in s of `time.monotonic`.
+        deadline_timer: Timer that fires at `deadline`.
+        attempts: Its attempts, indexed by attempt number; None for an attempt that was not started.
         attempts_in_flight: Number of attempts that have not ended.
     """
 
@@ -102,15 +102,15 @@
         self._last_request_number = 0
 
     def __len__(self) -> int:
-        """Return how many are open."""
+        """Return the number of open requests."""
         return len(self._by_id)
 
     def __iter__(self) -> Iterator[OpenRequest]:
-        """Iterate over a copy, so that requests may be closed meanwhile."""
+        """Iterate over a copy, so that requests may be removed during the iteration."""
         return iter(list(self._by_id.values()))
 
     def get(self, request_id: str) -> OpenRequest | None:
-        """Return a request; None if it is not open."""
+        """Return an open request, or None if there is none with this id."""
         return self._by_id.get(request_id)
 
     def has_x_request_id(self, x_request_id: bytes) -> bool:
@@ -121,9 +121,9 @@
         """Open a request.
 
         Args:
-            client: Who waits for the response.
+            client: The client that waits for the response.
             inbound: What the client sent.
-            deadline: When it is answered at the latest, by `time.monotonic`.
+            deadline: When the request is failed if it has no response, in s of `time.monotonic`.
         """
         self._x_request_ids.add(inbound.x_request_id)
         self._last_request_number += 1
@@ -134,7 +134,7 @@
         return request
 
     def remove_if_finished(self, request: OpenRequest) -> None:
-        """Remove a request that needs no response and has no attempt in flight."""
+        """Remove a request if no client waits for its response and no attempt is in flight."""
         if request.client is not None or request.attempts_in_flight:
             return
         if self._by_id.pop(request.request_id, None) is not None:
--- a/api_gateway/network/request_handler.py
+++ b/api_gateway/network/request_handler.py
@@ -1,4 +1,4 @@
-"""Open requests from their arrival to their response, with the attempts made for each."""
+"""Handles requests from their arrival to their response, with the attempts made for them."""
 
 from __future__ import annotations
 
@@ -19,21 +19,29 @@
 
 log = logging.getLogger(__name__)
 
-CLIENT_ROUND_TRIP_MS = 4.0  # allowed for the way of the request to this gateway and of the response back
-DEADLINE_MARGIN_MS = 8.0  # the deadline timer answers this long before the client's time is over
-DECISION_MARGIN_MS = 20.0  # the decisions get a deadline this much earlier, so that they answer first
-BILLED_UNITS_HEADER = b"billed-units"  # units that the request used, as reported by the endpoint
+# Time reserved for sending the request to this gateway and the response back to the client.
+CLIENT_ROUND_TRIP_MS = 4.0
+
+# A request without a response is failed with 504 this long before its remaining time ends.
+DEADLINE_MARGIN_MS = 8.0
+
+# The decisions get a remaining time that is shorter by this much, so that they respond before the 504 is
+# sent.
+DECISION_MARGIN_MS = 20.0
+
+# Response header in which an endpoint reports the units that the request used.
+BILLED_UNITS_HEADER = b"billed-units"
 
 
 class RequestHandler:
-    """Gives each request exactly one response, and each attempt exactly one `AttemptEnded`.
+    """Sends exactly one response to each request, and posts exactly one `AttemptEnded` for each attempt.
 
     Args:
         configuration: The gateway's configuration.
         loop: The event loop.
-        pool_class: The pool of upstream connections.
-        lag: The lag of the event loop.
-        post_event: Hands an event to the decisions.
+        pool_class: Class of the upstream connection pool.
+        lag: Measures the lag of the event loop.
+        post_event: Passes an event to the decisions.
 
     Attributes:
         requests: The open requests.
@@ -73,12 +81,12 @@
             inbound: The request.
 
         Returns:
-            The id for `client_disconnected`; None if a request with the same X-Request-Id is open, since
-            endpoints know a request by that id alone.
+            The request id for `client_disconnected`, or None if a request with the same X-Request-Id is open,
+            since endpoints identify a request by that header alone.
         """
         if self.requests.has_x_request_id(inbound.x_request_id):
             return None
-        # The client's time runs from when it sent the request, not from when this process handles it.
+        # The deadline counts from when the client sent the request, not from when this process handles it.
         now = time.monotonic()
         queued_ms = (now - inbound.read_at) * 1000
         remaining_ms = inbound.remaining_ms - CLIENT_ROUND_TRIP_MS - self._lag.lag_ms(now) - queued_ms
@@ -101,7 +109,7 @@
         return request.request_id
 
     def client_disconnected(self, request_id: str) -> None:
-        """Close a request whose client has disconnected."""
+        """Close a request whose client has disconnected, and withdraw its attempts with unsent bytes."""
         request = self.requests.get(request_id)
         if request is not None and request.client is not None:
             self._close(request)
@@ -109,12 +117,12 @@
             self._withdraw_unsent_attempts(request)
 
     def respond(self, request_id: str, status: int, *, retry_after_ms: float = 0.0) -> None:
-        """Answer a request without an endpoint's response, unless it has been answered.
+        """Send a response that comes from no endpoint, unless the request already has a response.
 
         Args:
-            request_id: The request.
-            status: Status code.
-            retry_after_ms: When the client may send the request again; 0 for no Retry-After.
+            request_id: Id of the request.
+            status: HTTP status code.
+            retry_after_ms: Time after which the client may retry; 0 omits Retry-After.
         """
         request = self.requests.get(request_id)
         if request is None or request.client is None:
@@ -124,12 +132,12 @@
         self._withdraw_unsent_attempts(request)
 
     def fail_all(self) -> None:
-        """Answer all open requests with 504."""
+        """Respond to all open requests with 504."""
         for request in self.requests:
             self._respond_with_timeout(request)
 
     def _forward_response(self, request: OpenRequest, response: Response) -> None:
-        """Answer with an endpoint's response, unless the request has been answered."""
+        """Forward an endpoint's response, unless the request already has a response."""
         if request.client is None:
             return
         client = self._close(request)
@@ -137,9 +145,9 @@
         self._withdraw_unsent_attempts(request)
 
     def _close_if_abandoned(self, request: OpenRequest | None) -> bool:
-        """Close a request whose client has disconnected.
+        """Close a request if its client has disconnected.
 
-        The client's socket is asked, since the event loop may report the end of the connection much later.
+        The client's socket is polled, since the event loop may report the end of the connection much later.
 
         Returns:
             Whether no client waits for a response.
@@ -151,7 +159,7 @@
         return request.client is None
 
     def _deadline_reached(self, request: OpenRequest) -> None:
-        """Answer a request that has no response when its deadline is reached."""
+        """Log a request that has no response at its deadline, and respond with 504."""
         log.warning(
             "request_deadline_reached request_id=%s x_request_id=%s status=504",
             request.request_id,
@@ -165,14 +173,14 @@
             self._post_event(ClientDisconnected(request.request_id))
 
     def _close(self, request: OpenRequest) -> Client:
-        """Close a request for its client, and return the client."""
+        """Detach the client from its request and return it, and cancel the deadline timer."""
         client, request.client = request.client, None
         request.deadline_timer.cancel()
         self.requests.remove_if_finished(request)
         return client
 
     def _withdraw_unsent_attempts(self, request: OpenRequest) -> None:
-        """End the attempts with unsent bytes: their endpoint would run them after the response."""
+        """Withdraw attempts with unsent bytes, which their endpoints would run after the response."""
         if request.attempts_in_flight:
             for attempt in request.attempts:
                 if attempt is not None:
@@ -181,7 +189,7 @@
     # --- Attempts -----------------------------------------------------------------------------------------
 
     def start_attempt(self, action: StartAttempt) -> None:
-        """Send an attempt, unless nobody waits for it, its time is over or the attempts are used up."""
+        """Send an attempt, unless no client waits, the deadline has passed or `max_attempts` is reached."""
         request = self.requests.get(action.request_id)
         number = len(request.attempts) if request is not None else 0
         remaining_s = request.deadline - time.monotonic() if request is not None else 0.0
@@ -208,7 +216,7 @@
         self.pool.send(attempt)
 
     def cancel_attempt(self, action: CancelAttempt) -> None:
-        """Cancel an attempt that is in flight; ignored if it has ended."""
+        """Cancel an attempt that is in flight; do nothing if it has ended."""
         request = self.requests.get(action.request_id)
         if request is not None and action.attempt < len(request.attempts):
             attempt = request.attempts[action.attempt]
@@ -235,7 +243,8 @@
         request.attempts_in_flight -= 1
         now = time.monotonic()
         duration_ms = (now - attempt.started_at) * 1000
-        if response is not None:  # the time for which it was unread is not the endpoint's
+        if response is not None:
+            # The time for which the response was unread is not latency of the endpoint.
             duration_ms = max(duration_ms - self._lag.lag_ms(now), 0.0)
         units = 0.0
         if result == AttemptResult.OK:
--- a/api_gateway/network/response_parser.py
+++ b/api_gateway/network/response_parser.py
@@ -1,7 +1,7 @@
-"""The client side of an HTTP/1.1 connection, shared by endpoints, counter and discovery.
+"""Client side of the HTTP/1.1 connections to endpoints, the counter and discovery.
 
-Decides which responses are valid: whether one is complete (RFC 9112, section 6.3), whether it was asked
-for, and whether its connection may carry another request (section 9.3).
+Checks whether a response is complete (RFC 9112, section 6.3), whether it belongs to a request, and whether
+its connection may carry another request (section 9.3).
 """
 
 from __future__ import annotations
@@ -16,17 +16,20 @@
 
 MAX_BODY_BYTES = 64 * 1024
 MAX_ENDPOINT_LIST_BYTES = 4 * 1024 * 1024
-MAX_FRAMING_BYTES = 64 * 1024  # heads, interim responses and chunk lines of one response
+
+# Limit on the bytes of a response besides its body: headers, interim responses and chunk lines.
+MAX_FRAMING_BYTES = 64 * 1024
+
 STATUSES_WITHOUT_BODY = frozenset((204, 304))
 DECIMAL_PATTERN = re.compile(rb"-?[0-9]{1,15}(?:\.[0-9]{1,15})?(?:[eE][+-]?[0-9]{1,2})?")
 
 
 class MalformedResponseError(GatewayError):
-    """A response whose end is not certain, or that is longer than may be passed on."""
+    """The end of a response is ambiguous, or the response exceeds a size limit."""
 
 
 def parse_decimal(text: bytes) -> float | None:
-    """Parse a decimal number; unlike `float`, accept no form such as `1_0`, `nan` or ` 1`.
+    """Parse a decimal number; unlike `float`, reject forms such as `1_0`, `nan` or ` 1`.
 
     Returns:
         The number, or None if the text is not one.
@@ -39,10 +42,10 @@
     """One complete response.
 
     Attributes:
-        status: Status code.
-        headers: Header fields by name in lower case.
-        body: The body, decoded if it came in chunks.
-        keep_alive: Whether the other side keeps the connection open after it.
+        status: HTTP status code.
+        headers: Header values by name in lower case.
+        body: The body, without the chunked transfer coding.
+        keep_alive: Whether the server keeps the connection open after it.
     """
 
     status: int
@@ -51,27 +54,27 @@
     keep_alive: bool
 
     def positive_header_value(self, name: bytes, maximum: float) -> float:
-        """Return a header's number.
+        """Return the value of a header as a positive number.
 
         Args:
-            name: Name in lower case.
+            name: Header name in lower case.
             maximum: The largest number that is accepted.
 
         Returns:
-            The number; 0 if the header is missing, malformed, negative or above the maximum.
+            The number, or 0 if the header is missing, malformed, negative or above the maximum.
         """
         value = parse_decimal(self.headers.get(name, b""))
         return value if value is not None and 0 < value <= maximum else 0.0
 
 
 class ResponseProtocol(asyncio.Protocol):
-    """Parses the responses to the requests that were written, in their order (RFC 9112, section 9.3.2).
+    """Parses responses and matches them to the written requests in order (RFC 9112, section 9.3.2).
 
     A subclass defines `response_received`, `malformed_response` and `connection_closed`.
 
     Attributes:
         transport: The connection; None before it is open.
-        has_unsent_data: Whether part of what was written has not left this process.
+        has_unsent_data: Whether part of the written data has not left this process.
     """
 
     def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
@@ -80,7 +83,7 @@
         self._parser = httptools.HttpResponseParser(self)
         self._max_body_bytes = max_body_bytes
         self._expected_responses = 0
-        self._received_bytes = 0  # of the response being received, with the interim ones before it
+        self._received_bytes = 0  # of the current response, with the interim responses before it
         self._complete_responses: list[Response] = []
         self._begin_message()
 
@@ -93,7 +96,7 @@
     # --- Defined by subclasses ----------------------------------------------------------------------------
 
     def response_received(self, response: Response, is_reusable: bool) -> None:
-        """Handle the response to the oldest request.
+        """Handle the response to the oldest request without a response.
 
         Args:
             response: The complete response.
@@ -102,11 +105,11 @@
         raise NotImplementedError
 
     def malformed_response(self) -> None:
-        """Handle data that cannot be used while responses are expected; the connection ends after it."""
+        """Handle invalid data received while a response is expected; the connection is closed afterwards."""
         raise NotImplementedError
 
     def connection_closed(self) -> None:
-        """Handle the end of the connection, whichever side ended it."""
+        """Handle the end of the connection, which either side may have closed."""
         raise NotImplementedError
 
     # --- Used by subclasses and their owners --------------------------------------------------------------
@@ -118,7 +121,7 @@
         self.has_unsent_data = self.transport.get_write_buffer_size() > 0
 
     def abort(self) -> None:
-        """Close the connection at once, with what is unsent."""
+        """Close the connection at once and discard unsent data."""
         if self.transport is not None:
             self.transport.abort()
 
@@ -135,19 +138,19 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport."""
         self.transport = transport
-        transport.set_write_buffer_limits(high=0)  # so that resume_writing follows the last byte
+        transport.set_write_buffer_limits(high=0)  # resume_writing is called once the last byte is sent
 
     def resume_writing(self) -> None:
-        """Note that the last byte has left this process."""
+        """Record that the last byte has left this process."""
         self.has_unsent_data = False
 
     def data_received(self, data: bytes) -> None:
-        """Parse data, then deliver the responses that it completes."""
+        """Parse received data, then deliver the responses that it completes."""
         if self.transport.is_closing():
             return
         is_valid = self._parse(data)
-        # A response that was not requested, such as a second copy behind the first one, would be taken for
-        # the response to the next request. So none is delivered before all that came with it is parsed.
+        # An unsolicited response, such as a duplicate of the first one, would be matched to the next
+        # request. So all data received together is parsed before a response in it is delivered.
         complete, self._complete_responses = self._complete_responses, []
         expected = complete[: self._expected_responses]
         self._expected_responses -= len(expected)
@@ -165,10 +168,10 @@
         self.connection_closed()
 
     def _parse(self, data: bytes) -> bool:
-        """Feed the parser.
+        """Feed data to the parser.
 
         Returns:
-            Whether the data was expected, well-formed and within the bounds.
+            Whether the data was expected, well-formed and within the size limits.
         """
         if not self._expected_responses:
             return False
@@ -179,30 +182,31 @@
             return False
         return self._received_bytes <= self._max_body_bytes + MAX_FRAMING_BYTES
 
-    # --- Callbacks of httptools: what they raise reaches _parse as an HttpParserError ----------------------
+    # --- Callbacks of httptools, which turns their exceptions into HttpParserError ------------------------
 
     def on_message_begin(self) -> None:
-        """Note that a response has begun."""
+        """Record that a response has begun."""
         self._is_in_message = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header field.
+        """Store a header field.
 
         Raises:
-            MalformedResponseError: Content-Length is repeated, so that the end is not certain.
+            MalformedResponseError: Content-Length is repeated, so that the end of the body is ambiguous.
         """
         name = name.lower()
         if name == b"content-length" and name in self._headers:
-            raise MalformedResponseError("repeated Content-Length")
+            raise MalformedResponseError("Content-Length is repeated")
         self._headers[name] = value
 
     def on_headers_complete(self) -> None:
-        """Check that the end of the body is certain (RFC 9112, section 6.3).
+        """Check that the end of the body is unambiguous (RFC 9112, section 6.3).
 
         Raises:
-            MalformedResponseError: Both or neither of Content-Length and chunked coding are given, or the
-                length is invalid or too large. Without either, the body would end with the connection, and
-                a truncated one could not be distinguished from a complete one (section 8).
+            MalformedResponseError: The response has both or neither of Content-Length and the chunked
+                transfer coding, or its length is invalid or too large. Without either, the body would end
+                with the connection, and a truncated body could not be distinguished from a complete one
+                (section 8).
         """
         status = self._parser.get_status_code()
         if status < 200 or status in STATUSES_WITHOUT_BODY:
@@ -210,23 +214,23 @@
         length = self._headers.get(b"content-length")
         coding = self._headers.get(b"transfer-encoding")
         if coding is not None and (length is not None or coding.strip().lower() != b"chunked"):
-            raise MalformedResponseError("ambiguous Transfer-Encoding")
+            raise MalformedResponseError("Transfer-Encoding is not chunked or comes with Content-Length")
         if coding is None and (length is None or not length.isdigit() or int(length) > self._max_body_bytes):
-            raise MalformedResponseError("Content-Length missing, invalid or too large")
+            raise MalformedResponseError("Content-Length is missing, invalid or too large")
 
     def on_body(self, data: bytes) -> None:
-        """Keep a part of the body.
+        """Store a part of the body.
 
         Raises:
-            MalformedResponseError: The body is too long.
+            MalformedResponseError: The body exceeds the limit.
         """
         self._body_bytes += len(data)
         if self._body_bytes > self._max_body_bytes:
-            raise MalformedResponseError("body too long")
+            raise MalformedResponseError("body exceeds the size limit")
         self._body.append(data)
 
     def on_message_complete(self) -> None:
-        """Keep a final response for delivery, and skip an interim one (1xx)."""
+        """Store a final response for delivery, and skip an interim one (1xx)."""
         status = self._parser.get_status_code()
         if status >= 200:
             self._received_bytes = 0
--- a/api_gateway/network/socket_state.py
+++ b/api_gateway/network/socket_state.py
@@ -1,7 +1,8 @@
-"""The state of a socket in the kernel, which the event loop may not have reported yet.
+"""State of a socket in the kernel, which the event loop may not have reported yet.
 
-The event loop reports data and the end of a connection in a later turn, later still under load, and not at
-all while reading is paused. Before an action that cannot be undone (a write, a close) the socket is polled.
+The event loop reports received data and the end of a connection in a later turn, with more delay under load,
+and not at all while reading is paused. So sockets are polled before a write or a close, which cannot be
+undone.
 """
 
 from __future__ import annotations
--- a/api_gateway/network/upstream/attempt.py
+++ b/api_gateway/network/upstream/attempt.py
@@ -13,27 +13,28 @@
 if TYPE_CHECKING:
     from api_gateway.network.upstream.connection import UpstreamConnection
 
-NOT_RUN_HEADER = b"x-not-run"  # set by an endpoint that rejects a request before running it
+# Response header that an endpoint sets to 1 if it rejects a request without having run it.
+NOT_RUN_HEADER = b"x-not-run"
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class Attempt:
-    """One attempt from its start until its one result. Times are in seconds of `time.monotonic`.
+    """One attempt, from its start until its result is reported. Times are in s of `time.monotonic`.
 
     Attributes:
-        request_id: The request that it is made for.
-        number: Its number within the request, from 0.
+        request_id: Id of the request that it is made for.
+        number: Its index within the request, from 0.
         endpoint_name: Name of the endpoint that it is sent to.
         head: Request line and headers, without `X-Deadline` and the empty line.
         body: The request's body.
         started_at: When it was started.
-        deadline: When its response is no longer waited for.
-        write_deadline: When its last byte must have been written; what is unwritten then is withdrawn.
-        connection: What it is written to; None before the write and after the end.
-        connect_task: The connect under way for it.
-        response_timer: Runs until `deadline`.
-        connect_timer: Runs while the connect is under way.
-        write_timer: Runs until `write_deadline`, if it was not written at once.
+        deadline: When it times out without a response.
+        write_deadline: When it is withdrawn if it still has unsent bytes.
+        connection: The connection that it is written to; None before the write and after the end.
+        connect_task: The pending connect, if there is one.
+        response_timer: Timer that fires at `deadline`.
+        connect_timer: Timer of the pending connect.
+        write_timer: Timer that fires at `write_deadline`; None if all bytes were sent at once.
         is_done: Whether its result has been reported.
     """
 
@@ -53,20 +54,20 @@
     is_done: bool = False
 
     def request_bytes(self, now: float) -> bytes:
-        """Return the request as it is written.
+        """Return the bytes of the HTTP request.
 
         Args:
-            now: Time of the write; `X-Deadline` gives the time that is left then.
+            now: Time of the write, from which `X-Deadline` gives the remaining time.
         """
         remaining_ms = max((self.deadline - now) * 1000, 1)
         return b"%bX-Deadline: %dm\r\n\r\n%b" % (self.head, remaining_ms, self.body)
 
     def has_unsent_bytes(self) -> bool:
-        """Return whether its last byte has not left this process, so that the endpoint cannot have run it."""
+        """Return whether part of it has not left this process, so that the endpoint cannot have run it."""
         return self.connection is None or self.connection.has_unsent_data
 
     def abort(self) -> None:
-        """End its connection, or the connect under way. The connection is never used again."""
+        """Cancel its pending connect, or abort its connection, which is not reused."""
         if self.connect_task is not None:
             self.connect_task.cancel()
         if self.connection is not None:
@@ -74,7 +75,7 @@
             self.connection.abort()
 
     def cancel_timers(self) -> None:
-        """Cancel the timers of its response and its write; the connect timer ends with the connect."""
+        """Cancel the response and write timers; the connect timer is cancelled when the connect ends."""
         if self.response_timer is not None:
             self.response_timer.cancel()
         if self.write_timer is not None:
@@ -82,7 +83,7 @@
 
 
 def result_of_response(response: Response) -> AttemptResult:
-    """Return how an attempt ended that got a complete response."""
+    """Return the result of an attempt that got a complete response."""
     if response.status == 200:
         return AttemptResult.OK
     if response.status in (503, 504) and response.headers.get(NOT_RUN_HEADER) == b"1":
--- a/api_gateway/network/upstream/connection.py
+++ b/api_gateway/network/upstream/connection.py
@@ -19,10 +19,10 @@
     """A connection that carries one attempt at a time and reports to its pool.
 
     Attributes:
-        endpoint: What it is connected to.
+        endpoint: The endpoint that it is connected to.
         attempt: The attempt whose response is awaited; None while idle.
-        is_reused: Whether `attempt` is not the first one on it.
-        idle_since: When its last response was complete, in s of event-loop time; 0 before the first one.
+        is_reused: Whether an earlier attempt was made on it than `attempt`.
+        idle_since: When its last response was complete, in s of event-loop time; 0 before the first response.
     """
 
     def __init__(self, pool: ConnectionPool, endpoint: UpstreamEndpoint) -> None:
@@ -41,15 +41,15 @@
         self.write(attempt.request_bytes(time.monotonic()))
 
     def is_reusable(self) -> bool:
-        """Return whether it is open and has no unread data.
+        """Return whether the connection is open and has no unread data.
 
-        Unread data would be taken for the next response. Behind an unread end of the connection, a request
-        that is written may have run.
+        Unread data would be parsed as the response to the next request. If the end of the connection is
+        unread, a request that is written now fails, and it is unknown whether it has run.
         """
         return not self.transport.is_closing() and not self._socket_poll.poll(0)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register with the pool."""
+        """Report the new connection to the pool."""
         super().connection_made(transport)
         self._socket_poll = select.poll()
         self._socket_poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
@@ -62,7 +62,7 @@
             self._pool.response_received(self, attempt, response, is_reusable)
 
     def malformed_response(self) -> None:
-        """Report a response that cannot be used to the pool."""
+        """Report a malformed response to the pool."""
         self._pool.malformed_response(self)
 
     def connection_closed(self) -> None:
--- a/api_gateway/network/upstream/endpoint.py
+++ b/api_gateway/network/upstream/endpoint.py
@@ -11,14 +11,16 @@
 
 @dataclass(slots=True, eq=False)
 class UpstreamEndpoint:
-    """One process of an endpoint: another address or a later start makes another object.
+    """One process of an upstream endpoint.
+
+    A new address or a later start under the same name is another process, which has an object of its own.
 
     Attributes:
-        name: Its instance id.
+        name: Name of the endpoint.
         address: Host and port.
         started_at_ms: When the process started, in ms of Unix time.
-        is_draining: Whether it finishes what it has and takes no new requests.
-        idle_connections: Its idle connections, the one used last at the end.
+        is_draining: Whether it finishes its requests and accepts no new ones.
+        idle_connections: Its idle connections, the most recently used one last.
     """
 
     name: str
@@ -28,15 +30,20 @@
     idle_connections: list[UpstreamConnection] = field(default_factory=list)
 
     def is_replaced_by(self, address: tuple[str, int], started_at_ms: float) -> bool:
-        """Return whether an entry of the endpoint list means another process than this one."""
+        """Return whether an entry of the endpoint list is for another process than this one.
+
+        Args:
+            address: Host and port of the entry.
+            started_at_ms: Start time of the entry, in ms of Unix time.
+        """
         return self.address != address or started_at_ms > self.started_at_ms
 
     def pop_reusable_connection(self, idle_before: float) -> UpstreamConnection | None:
-        """Remove and return the idle connection that was used last, of those that are reusable.
+        """Remove and return the most recently used connection that is reusable, or None.
 
         Args:
-            idle_before: Event-loop time in s; a connection must have become idle by then, so that bytes
-                which follow its last response have had time to arrive.
+            idle_before: Event-loop time in s. Connections that became idle later are skipped, since stray
+                bytes after their last response may still arrive.
         """
         for i in range(len(self.idle_connections) - 1, -1, -1):
             connection = self.idle_connections[i]
@@ -46,7 +53,7 @@
         return None
 
     def close_expired_connections(self, idle_before: float) -> None:
-        """Close the connections that became idle before an event-loop time in s."""
+        """Close the connections that became idle before `idle_before`, an event-loop time in s."""
         while self.idle_connections and self.idle_connections[0].idle_since < idle_before:
             self.idle_connections.pop(0).abort()
 
--- a/api_gateway/network/upstream/pool.py
+++ b/api_gateway/network/upstream/pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to all upstream endpoints: sends attempts and reports how each one ended."""
+"""Connection pool for all upstream endpoints: sends attempts and reports the result of each."""
 
 from __future__ import annotations
 
@@ -16,22 +16,27 @@
 from api_gateway.network.upstream.endpoint import UpstreamEndpoint
 
 MAX_PENDING_CONNECTS = 64
-MIN_IDLE_BEFORE_REUSE_S = 0.01  # so that bytes behind the last response, if any, can arrive
-IDLE_TIMEOUT_FRACTION = 0.5  # part of the endpoints' idle timeout after which a connection is closed
+
+# A connection is reused only after it has been idle for this long, so that stray bytes after its last
+# response can arrive and are not read as the next response.
+MIN_IDLE_BEFORE_REUSE_S = 0.01
+
+# Idle connections are closed after this fraction of the endpoints' idle timeout.
+IDLE_TIMEOUT_FRACTION = 0.5
 EXPIRY_CHECK_INTERVAL_S = 1.0
 
 
 class ConnectionPool:
-    """Sends each attempt on an idle connection or a new one; each ends in exactly one `AttemptResult`.
+    """Sends attempts on idle or new connections, and reports exactly one `AttemptResult` for each.
 
     Args:
         loop: The event loop.
-        max_connections: Bound on the connections to all endpoints, with the connects under way.
-        connect_timeout_ms: How long a connect may take.
-        idle_timeout_ms: After how long the endpoints close an idle connection.
-        on_attempt_ended: Called once for each attempt, with its response if it got a complete one.
+        max_connections: Limit on the connections to all endpoints, pending connects included.
+        connect_timeout_ms: Time within which a connection must be established.
+        idle_timeout_ms: Time after which the endpoints close an idle connection.
+        on_attempt_ended: Called once for each attempt with its result, and its response if that is complete.
         close_if_abandoned: Closes the request of an attempt if its client has disconnected, and returns
-            whether nobody waits for its response; called when a connect has succeeded.
+            whether no client waits for its response. Called when a connect has succeeded.
     """
 
     def __init__(
@@ -56,7 +61,7 @@
         self._is_stopped = False
 
     def start(self) -> None:
-        """Begin to close connections that have been idle for long."""
+        """Start to close expired connections periodically."""
         self._loop.call_later(EXPIRY_CHECK_INTERVAL_S, self._close_expired_connections)
 
     def stop(self) -> None:
@@ -75,13 +80,13 @@
         draining: set[str],
         started_at_ms: dict[str, float],
     ) -> None:
-        """Add, replace, drain and remove endpoints. Attempts that are under way there go on.
+        """Add, replace, drain and remove endpoints; attempts in flight continue.
 
         Args:
-            addresses: Host and port of each endpoint that is new or may have changed, by name.
+            addresses: Host and port by name, for each endpoint that is new or may have changed.
             removed: Names of the endpoints to remove.
-            draining: Names of the endpoints that take no new requests.
-            started_at_ms: When the process of each started, in ms of Unix time.
+            draining: Names of the endpoints that accept no new requests.
+            started_at_ms: Start of each endpoint's process by name, in ms of Unix time.
         """
         for name in removed:
             endpoint = self._endpoints.pop(name, None)
@@ -100,30 +105,30 @@
         self._endpoints[name] = UpstreamEndpoint(name, address, started_at_ms)
 
     def withdraw_pending_connects(self) -> None:
-        """Withdraw the attempts that are connecting to endpoints which accept no new requests.
+        """Withdraw attempts with a pending connect to an endpoint that accepts no new requests.
 
-        To be called after the decisions have got the new list, or they would choose the same endpoint again.
+        Call this after the decisions have received the new list, or they choose the same endpoint again.
         """
         for attempt, endpoint in list(self._pending_connects.items()):
             if not self._accepts_new_requests(endpoint):
                 self._abort(attempt, AttemptResult.WITHDRAWN)
 
     def endpoint_names(self) -> set[str]:
-        """Return the names of the endpoints that can be connected to."""
+        """Return the names of all listed endpoints, draining ones included."""
         return set(self._endpoints)
 
     def _accepts_new_requests(self, endpoint: UpstreamEndpoint) -> bool:
-        """Return whether an endpoint is still the listed process and does not drain.
+        """Return whether an endpoint is still the listed process and is not draining.
 
-        An attempt that was decided for an earlier process must not be sent to its successor, which starts
-        with the budget of a cold endpoint.
+        An attempt chosen for an earlier process must not be sent to its successor, which is in slow start and
+        may be sent fewer requests.
         """
         return self._endpoints.get(endpoint.name) is endpoint and not endpoint.is_draining
 
     # --- Attempts -----------------------------------------------------------------------------------------
 
     def send(self, attempt: Attempt) -> None:
-        """Write an attempt to an idle connection, or connect for it."""
+        """Send an attempt on an idle connection, or on a new one."""
         endpoint = self._endpoints.get(attempt.endpoint_name)
         if endpoint is None:
             self._end(attempt, AttemptResult.CONNECT_FAILED)
@@ -147,7 +152,7 @@
             self._abort(attempt, AttemptResult.CANCELLED)
 
     def withdraw(self, attempt: Attempt) -> None:
-        """End an attempt whose last byte is unsent, so that it never ran. Any other goes on."""
+        """End an attempt that has unsent bytes, so that it cannot have run; do nothing with any other."""
         if not attempt.is_done and attempt.has_unsent_bytes():
             self._abort(attempt, AttemptResult.WITHDRAWN)
 
@@ -163,7 +168,7 @@
             )
 
     def _deadline_reached(self, attempt: Attempt) -> None:
-        # After a stall the response may have arrived, but be unread.
+        # After a stall of the event loop, the response may have arrived and be unread.
         attempt.response_timer = self._loop.call_later(TIMEOUT_READ_DELAY_S, self._time_out, attempt)
 
     def _time_out(self, attempt: Attempt) -> None:
@@ -180,7 +185,7 @@
         self._end(attempt, result)
 
     def _end(self, attempt: Attempt, result: AttemptResult, response: Response | None = None) -> None:
-        """Report the one result of an attempt; later ones are ignored."""
+        """Report the result of an attempt, unless one has been reported."""
         if attempt.is_done:
             return
         attempt.is_done = True
@@ -205,10 +210,10 @@
         self._start_write_timer(attempt)
 
     def _ensure_connection_slot(self) -> bool:
-        """Keep to the bound on connections; at the bound, close the one that has been idle longest.
+        """Make room for one more connection; at the limit, close the one that has been idle longest.
 
         Returns:
-            Whether one more connection may be opened.
+            Whether a connection may be opened within the limit.
         """
         if len(self._connections) + len(self._pending_connects) < self._max_connections:
             return True
@@ -239,15 +244,15 @@
         elif not self._may_still_be_sent(attempt, endpoint):
             connection.abort()
             self._end(attempt, AttemptResult.WITHDRAWN)
-        elif connection.transport.is_closing():  # it broke between the connect and this callback
+        elif connection.transport.is_closing():  # closed between the connect and this callback
             self._end(attempt, AttemptResult.NOT_SENT)
         else:
             self._send_on(connection, attempt)
 
     def _may_still_be_sent(self, attempt: Attempt, endpoint: UpstreamEndpoint) -> bool:
-        """Return whether the reasons to send an attempt still hold after its connect.
+        """Return whether an attempt may be sent on the connection established for it.
 
-        Closes the request if its client has disconnected meanwhile.
+        Closes the request if its client has disconnected in the meantime.
         """
         return (
             self._accepts_new_requests(endpoint)
@@ -265,11 +270,11 @@
     # --- Connections --------------------------------------------------------------------------------------
 
     def connection_opened(self, connection: UpstreamConnection) -> None:
-        """Count a new connection."""
+        """Add a new connection."""
         self._connections.add(connection)
 
     def connection_closed(self, connection: UpstreamConnection) -> None:
-        """Remove a connection, and end the attempt on it."""
+        """Remove a closed connection, and end the attempt on it."""
         self._connections.discard(connection)
         endpoint = connection.endpoint
         if connection in endpoint.idle_connections:
@@ -280,7 +285,8 @@
         if connection.has_unsent_data:
             self._end(attempt, AttemptResult.NOT_SENT)
         elif connection.is_reused and not connection.response_started():
-            # The connection used last had ended unnoticed, so the idle ones, which are older, count as stale.
+            # The most recently used connection was closed without notice, so the other idle ones, which have
+            # been unused for longer, are regarded as stale, too.
             endpoint.close_idle_connections()
             self._end(attempt, AttemptResult.STALE_CONNECTION)
         else:
@@ -289,12 +295,12 @@
     def response_received(
         self, connection: UpstreamConnection, attempt: Attempt, response: Response, is_reusable: bool
     ) -> None:
-        """Release the connection, and end the attempt with its complete response."""
+        """Release a connection, and end its attempt with a complete response."""
         self._release(connection, is_reusable)
         self._end(attempt, result_of_response(response), response)
 
     def malformed_response(self, connection: UpstreamConnection) -> None:
-        """End the attempt on a connection whose response cannot be used; it may have run."""
+        """End the attempt on a connection with a malformed response; the endpoint may have run it."""
         attempt, connection.attempt = connection.attempt, None
         if attempt is not None:
             self._end(attempt, AttemptResult.MALFORMED_RESPONSE)
@@ -308,7 +314,8 @@
             connection.abort()
 
     def _close_expired_connections(self) -> None:
-        # A request written while the endpoint closes its side would end in a reset and may have run.
+        # Connections are closed before the endpoint closes them: a request that is written while the endpoint
+        # closes its side ends in a reset, and it is unknown whether it has run.
         if self._is_stopped:
             return
         idle_before = self._loop.time() - self._idle_timeout_s
--- a/tests/support/dispatcher_driver.py
+++ b/tests/support/dispatcher_driver.py
@@ -26,11 +26,11 @@
 
 
 class ScriptedDecisions:
-    """Stands in for the decisions: records events and returns actions that a test has set.
+    """Takes the place of the decisions: records events, and returns the actions that a test has set.
 
     Attributes:
         events: All events, in their order.
-        next_actions: What the next event of a type is answered with, once; an exception is raised.
+        next_actions: Actions to return on the next event of a type, once; an exception is raised instead.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -54,7 +54,7 @@
     """A client that records the status of each response.
 
     Attributes:
-        statuses: What it was answered; more than one is a fault.
+        statuses: Status codes of its responses; more than one response is a fault.
         is_disconnected: Set by a test to close its connection without telling the event loop.
     """
 
@@ -74,7 +74,7 @@
 
 
 def inbound_request(deadline_ms: float = 5000, body: bytes = b"") -> InboundRequest:
-    """Return a valid request with an id of its own."""
+    """Return a valid request with a unique X-Request-Id."""
     return InboundRequest(
         x_request_id=b"%d" % next(_serial_numbers),
         class_name="pay",
@@ -94,7 +94,7 @@
 async def start_dispatcher(
     monkeypatch: pytest.MonkeyPatch, endpoint: FakeServer
 ) -> tuple[Dispatcher, ScriptedDecisions]:
-    """Start an endpoint, and a dispatcher that knows it as `ENDPOINT_NAME`; discovery is not asked."""
+    """Start an endpoint, and a dispatcher that knows it as `ENDPOINT_NAME`; discovery is not polled."""
     monkeypatch.setattr(dispatcher_module, "Gateway", ScriptedDecisions)
     await endpoint.start()
     configuration = parse_configuration(
@@ -113,7 +113,7 @@
 
 
 def endpoint_list(endpoint: FakeServer, lifecycle: str) -> EndpointList:
-    """Return the next list from discovery, in which the endpoint is in a state or, if "gone", missing."""
+    """Return the next endpoint list, where the endpoint has a lifecycle or, if that is "gone", is missing."""
     removed = lifecycle == "gone"
     instances = [] if removed else [instance(ENDPOINT_NAME, endpoint.port, lifecycle)]
     return parse_endpoint_list({"generation": 2, "reset": removed, "instances": instances})
@@ -124,7 +124,7 @@
 
     Attributes:
         started: Set when a connect has been started.
-        release: To be set by a test.
+        release: Set by a test to let all connects end.
         ended: Set when a connect has succeeded or has been cancelled.
     """
 
@@ -154,7 +154,7 @@
 
 
 class BrokenConnectsLoop:
-    """An event loop whose new connections are broken before they can be used."""
+    """An event loop whose new connections are aborted before they can be used."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
@@ -164,7 +164,7 @@
         return getattr(self._loop, name)
 
     async def create_connection(self, *args: object) -> tuple[asyncio.Transport, asyncio.Protocol]:
-        """Connect, and break the connection."""
+        """Connect, and abort the connection."""
         transport, protocol = await self._loop.create_connection(*args)
         transport.abort()
         return transport, protocol
@@ -172,7 +172,7 @@
 
 @dataclass
 class ConnectingRequest:
-    """A request with one attempt whose connect is held, and what it was submitted to."""
+    """A request with one attempt whose connect is blocked, and the dispatcher that it was submitted to."""
 
     dispatcher: Dispatcher
     decisions: ScriptedDecisions
@@ -189,14 +189,14 @@
     timeout_ms: float = 5000,
     write_timeout_ms: float = math.inf,
 ) -> ConnectingRequest:
-    """Submit a request whose attempt connects until the test releases it.
+    """Submit a request with an attempt whose connect ends only when the test releases it.
 
     Args:
-        monkeypatch: Puts the scripted decisions in place.
-        endpoint: The endpoint; it is started.
-        action_on_end: How the decisions answer the end of the attempt; None for not at all.
-        timeout_ms: How long the attempt may take.
-        write_timeout_ms: Within what time the attempt must be written.
+        monkeypatch: Replaces the decisions by the scripted ones.
+        endpoint: The endpoint, which is started.
+        action_on_end: Action that the decisions return when the attempt ends; None for no action.
+        timeout_ms: Timeout of the attempt.
+        write_timeout_ms: Time within which the attempt must be written.
     """
     dispatcher, decisions = await start_dispatcher(monkeypatch, endpoint)
     dispatcher._pool._loop = connects = BlockedConnectsLoop(dispatcher._loop)
--- a/tests/support/http_fakes.py
+++ b/tests/support/http_fakes.py
@@ -1,4 +1,4 @@
-"""Scripted HTTP servers on loopback sockets, and the requests and responses that tests exchange with them."""
+"""Scripted HTTP servers on loopback sockets, and the requests and responses of tests."""
 
 from __future__ import annotations
 
@@ -111,12 +111,12 @@
 
 
 def serve(request: ReceivedMessage) -> bytes:
-    """Answer with status 200 and the body `served`."""
+    """Respond with status 200 and the body `served`."""
     return response_bytes(b"served")
 
 
 def serve_as(body: bytes) -> Responder:
-    """Return a responder that answers with status 200 and `body`."""
+    """Return a responder that responds with status 200 and `body`."""
     return lambda _: response_bytes(body)
 
 
@@ -142,14 +142,14 @@
     """A scripted HTTP server.
 
     Attributes:
-        respond: Returns the bytes to answer a request with; None sends nothing, b"" resets the connection.
+        respond: Returns the response to a request; None sends nothing, b"" resets the connection.
         received: All requests so far.
         connections_opened: Number of connections accepted so far.
-        connections_closed: Number of connections that the other side has ended.
+        connections_closed: Number of connections that the client has closed or reset so far.
         writers: The open connections.
         changed: Set with each change of the attributes above.
-        asyncio_server: The listening server, from `start` on.
-        port: Its port.
+        asyncio_server: The listening server; set by `start`.
+        port: Its port; set by `start`.
     """
 
     def __init__(self, respond: Responder) -> None:
@@ -237,16 +237,16 @@
         return None
 
     def list_response(self, instances: list[dict], is_full: bool) -> bytes:
-        """Return a response with a full list, or with changes alone."""
+        """Return a response with a full list, or with changes only."""
         body = {"generation": self.generation, "reset": is_full, "instances": instances}
         return response_bytes(json.dumps(body).encode())
 
     async def publish(self, instances: list[dict], is_full: bool = False) -> None:
-        """Answer the pending long poll with a new generation, and wait for the next poll."""
+        """Respond to the pending long poll with a new generation, and wait for the next poll."""
         await self.respond_to_poll(lambda: self.list_response(instances, is_full))
 
     async def respond_to_poll(self, response: Callable[[], bytes]) -> None:
-        """Answer the pending long poll with arbitrary bytes, and wait for the next request."""
+        """Respond to the pending long poll with arbitrary bytes, and wait for the next request."""
         await self.server.wait_until(lambda _: bool(self.pending_polls))
         self.generation += 1
         count = len(self.server.received)
--- a/tests/test_acceptance_cold_endpoints.py
+++ b/tests/test_acceptance_cold_endpoints.py
@@ -1,11 +1,11 @@
-"""No cold endpoint fails under the sum of what all gateways send to it."""
+"""No cold endpoint is overloaded by the requests that all gateways together send to it."""
 
 from __future__ import annotations
 
 import pytest
 from support.fleet_simulation import FleetSimulation
 
-FLEETS = [  # gateways, endpoints, share of them replaced at once, which gateways have just started
+FLEETS = [  # gateways, endpoints, fraction of them replaced at once, which gateways have just started
     (30, 50, 1.0, "all"),
     (30, 50, 1.0, "none"),
     (30, 50, 0.6, "all"),
@@ -36,7 +36,11 @@
     slow_start_s: float,
     requests_per_s: float,
 ) -> None:
-    """Small and large multiples, short and long slow starts, low and high rates, uneven over the gateways."""
+    """Requests are distributed unevenly over the gateways.
+
+    The cases have small and large overload multiples, short and long slow starts, and low and high request
+    rates.
+    """
     simulation = FleetSimulation(
         gateways=gateways,
         endpoints=endpoints,
@@ -64,7 +68,7 @@
 
 
 def test_endpoints_that_become_warm_together_are_not_overloaded() -> None:
-    """Five of fifty become warm at once; what was sent to them while cold must not make them preferred."""
+    """Five of fifty endpoints end their slow start at once; their low load before must not attract load."""
     for seed in (1, 2, 3):
         simulation = FleetSimulation(requests_per_s=15, overload_multiple=2.5, slow_start_s=5, seed=seed)
         simulation.run(6)
--- a/tests/test_acceptance_discovery.py
+++ b/tests/test_acceptance_discovery.py
@@ -1,4 +1,4 @@
-"""An endpoint change is known 6 s after discovery has it and can be reached, whatever failed before.
+"""A change is known within 6 s after discovery has it and can be reached, whatever failed before.
 
 A `DiscoveryWatch` runs on a simulated event loop against a simulated discovery.
 """
@@ -36,7 +36,7 @@
 
 
 class SimulatedConnect:
-    """A connect, in place of the asyncio task of it."""
+    """A pending connect, in place of its asyncio task."""
 
     def __init__(self, simulation: DiscoverySimulation) -> None:
         self.simulation = simulation
@@ -88,15 +88,15 @@
 
 
 class DiscoverySimulation:
-    """An event loop with a clock of its own, and a discovery that treats each connect and request as told.
+    """A simulated event loop, and a discovery on which connects and requests fail in a given order.
 
-    The last of the failures meets what starts right before discovery has its change and can be reached; what
-    starts later succeeds, but as late as possible.
+    The last failure is that of the connect or request that starts right before discovery has the change and
+    can be reached. All later ones succeed, but take as long as possible.
 
     Attributes:
         now: Simulated time in s.
-        changed_at: When discovery had its change and could be reached.
-        known_at: When the gateway knew the change.
+        changed_at: When discovery had the change and could be reached.
+        known_at: When the gateway received the change.
         connect_times: When each connect was started.
     """
 
@@ -155,7 +155,7 @@
             timer.callback()
 
     def run_until_known(self) -> float:
-        """Return how long after the change the gateway knew it, in s."""
+        """Run until the gateway knows the change, and return the time since the change in s."""
         while self.known_at is None and self.now < 600:
             self.run_next_timer()
         return self.known_at - self.changed_at
@@ -181,7 +181,7 @@
 
 
 class LongestDelays(random.Random):
-    """Makes each random delay the longest possible one."""
+    """A random generator that makes each random delay as long as possible."""
 
     def random(self) -> float:
         return 1.0
@@ -189,7 +189,7 @@
 
 @pytest.mark.parametrize("fleet_size", [3, 200, 670])
 def test_change_is_known_within_6_s_after_every_order_of_failures(fleet_size: int) -> None:
-    """All orders of up to four failures with the longest delays, and random longer ones."""
+    """Covers all sequences of up to four failures with the longest delays, and random longer sequences."""
     spread_s = min(POLL_DURATION_S * fleet_size, MAX_POLL_CYCLE_S)
     for count in (1, 2, 3, 4):
         for failures in itertools.product(FAILURES, repeat=count):
@@ -210,7 +210,7 @@
 
 
 def test_request_rate_is_bounded_while_every_connect_is_refused() -> None:
-    """One connect in 1.2 s at most, in the mean of 300 s."""
+    """At most one connect per 1.2 s, on average over 300 s."""
     simulation = DiscoverySimulation(("refused", "refused") * 400, random.Random(1), MAX_POLL_CYCLE_S)
     while simulation.now < 300:
         simulation.run_next_timer()
@@ -218,7 +218,7 @@
 
 
 def test_request_rate_is_bounded_while_there_is_no_change() -> None:
-    """One request in 2 s at most, in the mean."""
+    """At most one request per 2 s, on average."""
     simulation = DiscoverySimulation(("reset", *("slow",) * 140), random.Random(1), MAX_POLL_CYCLE_S)
     simulation.run_until_known()
     assert 140 / simulation.changed_at < 1 / 2.0
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -1,4 +1,4 @@
-"""The client of the counter: results of its calls, and the connections that it keeps."""
+"""The client of the counter: results of its calls, and replacement of its connections."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
         (
             lambda request: b"",
             CounterResult.CONNECTION_LOST,
-        ),  # closed after the call was written: it may have been added
+        ),  # closed after the write: the counter may have added the amount
         (lambda request: response_bytes(b"", 503), CounterResult.OVERLOADED),
         (lambda request: response_bytes(b"many"), CounterResult.MALFORMED_RESPONSE),
         (lambda request: response_bytes(b"nan"), CounterResult.MALFORMED_RESPONSE),
@@ -87,7 +87,7 @@
 
 
 def test_configured_timeout_allows_for_late_responses() -> None:
-    """A busy counter answers later than the configured time, and its totals are valid."""
+    """A busy counter may respond after the configured time, and its counter values are still valid."""
 
     async def scenario() -> None:
         fake = FakeServer(lambda request: None)
@@ -122,7 +122,7 @@
 
 
 def test_silent_connection_is_replaced() -> None:
-    """A counter that is cut off leaves its connection open; later calls must not be written to it."""
+    """If the network to the counter fails, its connection stays open; no more calls may be written to it."""
 
     async def scenario() -> None:
         fake = FakeServer(lambda request: None)
@@ -141,7 +141,7 @@
 
 
 def test_connection_that_is_reset_as_it_is_established_is_replaced(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its end is reported before the task that established it is done."""
+    """The end of the connection is reported before the task that establishes it is done."""
 
     async def scenario() -> None:
         listener = socket.create_server((LOOPBACK, 0))
@@ -167,7 +167,7 @@
         )
         counter.start()
         await ended.wait()
-        await asyncio.sleep(0.01)  # the task that established it is done, too
+        await asyncio.sleep(0.01)  # lets the task that established the connection end, too
         fake = FakeServer(lambda request: response_bytes(b"1"))
         fake.asyncio_server = await asyncio.start_server(fake._serve, sock=listener)
         counter.increment(IncrementCounter("a", 1, 1000))
@@ -204,8 +204,8 @@
 @pytest.mark.parametrize(
     ("silent_count", "results"),
     [
-        (1, {CounterResult.CONNECTION_LOST}),  # the connection is closed
-        (2, {CounterResult.TIMED_OUT}),  # on more than one connection: the counter is slow
+        (1, {CounterResult.CONNECTION_LOST}),  # the silent connection is closed
+        (2, {CounterResult.TIMED_OUT}),  # more than one connection is silent: the counter is slow
     ],
 )
 def test_single_silent_connection_is_closed_but_not_several(
@@ -284,7 +284,7 @@
         counter.increment(IncrementCounter("a", 1, 1000))
         await old.wait_until(lambda fake: len(fake.received) == 1)
         counter.change_address((LOOPBACK, new.port))
-        old.received[0].writer.write(response_bytes(b"70"))  # late, and valid for the old counter alone
+        old.received[0].writer.write(response_bytes(b"70"))  # late, and a value of the old counter only
         assert (await replies.get()).result == CounterResult.MALFORMED_RESPONSE
         counter.increment(IncrementCounter("a", 1, 1000))
         counter_reply = await replies.get()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The watch on the endpoint list: what it polls for, when it retries, and what it gives up."""
+"""The discovery watch: what its polls request, when they are retried, and when they time out."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
 
 
 class FakeLoop:
-    """A loop whose clock and connections the test advances by hand."""
+    """An event loop whose timers and connects run when the test says so."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -89,7 +89,7 @@
         return min((t for t in self.timers if t.is_pending), key=lambda t: t.due_at)
 
     def fire(self) -> float:
-        """Run the next timer, and return the seconds until it was due."""
+        """Run the next timer, and return the time in s until it was due."""
         timer = self.next_timer()
         timer.is_pending = False
         delay, self.now = timer.due_at - self.now, max(timer.due_at, self.now)
@@ -107,7 +107,7 @@
 
 
 def reject_poll(loop: FakeLoop, watch: DiscoveryWatch) -> float:
-    """Answer one poll with 503, and return the seconds of the backoff after it."""
+    """Respond to one poll with 503, and return the backoff after it in s."""
     connection = loop.complete_connect()
     watch.handle_response(connection, response(503), True)
     assert connection.is_aborted
@@ -140,7 +140,10 @@
 
 
 def test_rejected_polls_are_retried_within_a_cycle_and_with_jitter() -> None:
-    """The delays fill the whole cycle and no more, so that a change is known in time under overload, too."""
+    """The delays are spread over one whole cycle and never longer.
+
+    Otherwise, a change would be known too late while discovery is overloaded.
+    """
     delays = []
     for seed in range(40):
         loop = FakeLoop()
--- a/tests/test_discovery_codec.py
+++ b/tests/test_discovery_codec.py
@@ -1,4 +1,4 @@
-"""The codec of discovery's wire."""
+"""Encoding of the polls to discovery, and decoding of its endpoint lists."""
 
 from __future__ import annotations
 
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -32,7 +32,7 @@
         client, started = RecordingClient(), time.monotonic()
         decisions.next_actions[RequestReceived] = [
             StartAttempt("r1", ENDPOINT_NAME, 5000)
-        ]  # in flight until 504
+        ]  # has no response until the deadline
         dispatcher.submit(client, inbound_request(300))
         assert await client.statuses.get() == 504
         assert time.monotonic() - started < 0.3
@@ -140,7 +140,7 @@
 
 
 def test_no_attempt_is_started_for_a_client_that_has_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its end is unread when the counter answers and the decisions start an attempt."""
+    """The counter replies and the decisions start an attempt while the end of the connection is unread."""
 
     async def scenario() -> None:
         endpoint = FakeServer(lambda request: response_bytes(b"served"))
@@ -172,7 +172,7 @@
             lambda fake: any("/api/" in request.start_line for request in fake.received)
         )
         os.write(endpoint.received[-1].writer.get_extra_info("socket").fileno(), response_bytes(b"served"))
-        time.sleep(0.6)  # the response is unread meanwhile
+        time.sleep(0.6)  # stalls the event loop, so that the response stays unread
         assert await client.statuses.get() == 200
         (ended,) = [event for event in decisions.events if isinstance(event, AttemptEnded)]
         assert ended.duration_ms < 400
--- a/tests/test_program_upstream.py
+++ b/tests/test_program_upstream.py
@@ -1,4 +1,4 @@
-"""The real program towards its endpoints: how the result of an attempt becomes a response or a retry."""
+"""The program and its endpoints: which results of an attempt lead to a response, and which to a retry."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 @async_test(limit_s=5)  # less than one deadline of 6 s
 async def test_rejection_is_immediate_and_has_retry_after(tmp_path: Path) -> None:
-    """A rejected request is answered at once, not shortly before its deadline."""
+    """A rejected request gets its response at once, not shortly before its deadline."""
     async with RunningProgram(tmp_path, serve) as program:
         responses = [
             await program.request(request_bytes(plan="small", x_request_id=b"id-%d" % i)) for i in range(6)
@@ -131,9 +131,9 @@
 
 @async_test()
 async def test_reset_of_an_idle_connection_does_not_eject_the_endpoint(tmp_path: Path) -> None:
-    """An endpoint may lose idle connections: the request is retried on a new one."""
+    """An endpoint may reset idle connections; the request is then retried on a new one."""
     used: set[int] = set()
-    writers: list[asyncio.StreamWriter] = []  # kept, so that no id is used twice
+    writers: list[asyncio.StreamWriter] = []  # kept alive, so that no object id is reused
 
     def respond(request: ReceivedMessage) -> bytes:
         is_reused = id(request.writer) in used
@@ -200,7 +200,7 @@
 async def test_bytes_after_a_response_are_never_parsed_as_the_next_response(
     tmp_path: Path, more: bytes, late: bool
 ) -> None:
-    """Neither right behind the response nor a packet later."""
+    """Whether they arrive with the response or shortly after it, the connection must not be reused."""
 
     def respond(request: ReceivedMessage) -> bytes:
         response = response_bytes(request.headers["x-request-id"].encode())
--- a/tests/test_upstream_pool.py
+++ b/tests/test_upstream_pool.py
@@ -1,4 +1,4 @@
-"""The upstream pool under a dispatcher: connects whose reason has gone when they succeed, or that break."""
+"""The upstream connection pool: connects that break, or whose attempts must no longer be sent."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 def test_connection_that_breaks_right_after_the_connect_ends_as_not_sent(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Nothing may be written to it: the attempt would wait until its timeout."""
+    """An attempt written to the broken connection would wait until its timeout."""
 
     async def scenario() -> None:
         endpoint = FakeServer(serve)
@@ -48,12 +48,12 @@
 def test_nothing_is_written_after_a_connect_to_an_endpoint_that_drains_or_is_removed(
     monkeypatch: pytest.MonkeyPatch, lifecycle: str
 ) -> None:
-    """The list comes when the connect has succeeded and its task has not ended."""
+    """The endpoint list changes when the connect has succeeded, but its task has not ended."""
 
     async def scenario() -> None:
         endpoint = FakeServer(serve)
         request = await submit_with_blocked_connect(monkeypatch, endpoint)
-        # Only the check at the write is left.
+        # Without this method, only the check before the write withdraws the attempt.
         monkeypatch.setattr(request.dispatcher._pool, "withdraw_pending_connects", lambda: None)
         await request.connects.started.wait()
         await endpoint.wait_until(lambda fake: fake.connections_opened == 1)
@@ -72,7 +72,7 @@
 def test_pending_connect_is_withdrawn_at_once_when_its_endpoint_drains_or_is_removed(
     monkeypatch: pytest.MonkeyPatch, lifecycle: str
 ) -> None:
-    """The decisions get the list before the result, or they would choose the endpoint again."""
+    """The decisions must receive the list before the result, or they would choose the endpoint again."""
 
     async def scenario() -> None:
         endpoint = FakeServer(serve)
@@ -110,7 +110,7 @@
 def test_nothing_is_written_after_a_connect_for_a_client_that_has_disconnected(
     monkeypatch: pytest.MonkeyPatch, reported: bool
 ) -> None:
-    """No cancel action is needed, and the client's end may be unread."""
+    """This needs no action of the decisions, also while the end of the client's connection is unread."""
 
     async def scenario() -> None:
         endpoint = FakeServer(serve)
