--- a/api_gateway/network/counter_connection.py
+++ b/api_gateway/network/counter_connection.py
@@ -22,8 +22,8 @@
 
 CONNECT_TIMEOUT_S = 0.25
 
-# A connection without a response for this long is closed: if the network to the counter fails, connections
-# stay open without one.
+# A connection whose oldest call has no response after this time is closed: if the network to the counter
+# fails, connections stay open, but no responses arrive.
 RESPONSE_TIMEOUT_S = 1.0
 
 BACKOFF_BASE_S = 0.05
--- a/api_gateway/network/discovery.py
+++ b/api_gateway/network/discovery.py
@@ -198,8 +198,8 @@
             return endpoint_list
         if self._generation is None or endpoint_list.generation < self._generation:
             raise MalformedEndpointListError(
-                f"expected a full list or changes since generation {self._generation}, "
-                f"got changes of generation {endpoint_list.generation}"
+                f"changes of generation {endpoint_list.generation} do not apply to the known "
+                f"generation {self._generation}"
             )
         return endpoint_list
 
--- a/api_gateway/network/discovery_policy.py
+++ b/api_gateway/network/discovery_policy.py
@@ -18,8 +18,8 @@
 
 from api_gateway.model.settings import Settings
 
-# A failed poll is retried within this time from its start, or at most MIN_BACKOFF_LIMIT_S after it has
-# failed.
+# A failed poll is retried within this time after its start or, if that has passed, within MIN_BACKOFF_LIMIT_S
+# after its failure.
 MAX_POLL_CYCLE_S = 2.8
 CONNECT_TIMEOUT_S = 0.6
 
@@ -37,7 +37,7 @@
 # The first poll after a failure does not wait for a change, so that a missing response is detected at once.
 CATCH_UP_WAIT_MS = 1
 
-# Timeout of a connect to an agent, and of its response to a poll beyond the wait of that poll.
+# Connect timeout of an agent, and the time for its response to a poll beyond the wait of the poll.
 AGENT_TIMEOUT_S = 0.2
 
 # Timeout of a full list of which more keeps arriving.
@@ -79,7 +79,7 @@
 
         Args:
             settings: The settings of the gateway.
-            max_poll_interval_ms: Longest time that a gateway may let pass without a poll.
+            max_poll_interval_ms: Longest time that may pass between two polls of a gateway.
         """
         if not settings.discovery_by_polling:
             return cls()
--- a/api_gateway/network/dispatcher.py
+++ b/api_gateway/network/dispatcher.py
@@ -164,7 +164,7 @@
         """Accept a request.
 
         Args:
-            client: Gets exactly one response, possibly before this method returns.
+            client: Receives exactly one response, possibly before this method returns.
             inbound: The request.
 
         Returns:
--- a/api_gateway/network/request_handler.py
+++ b/api_gateway/network/request_handler.py
@@ -77,7 +77,7 @@
         """Accept a request.
 
         Args:
-            client: Gets exactly one response, possibly before this method returns.
+            client: Receives exactly one response, possibly before this method returns.
             inbound: The request.
 
         Returns:
--- a/api_gateway/network/response_parser.py
+++ b/api_gateway/network/response_parser.py
@@ -136,7 +136,7 @@
     # --- asyncio.Protocol ---------------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self.transport = transport
         transport.set_write_buffer_limits(high=0)  # resume_writing is called once the last byte is sent
 
--- a/api_gateway/network/upstream/endpoint.py
+++ b/api_gateway/network/upstream/endpoint.py
@@ -13,7 +13,7 @@
 class UpstreamEndpoint:
     """One process of an upstream endpoint.
 
-    A new address or a later start under the same name is another process, which has an object of its own.
+    Another address or a later start time under the same name means another process, with its own object.
 
     Attributes:
         name: Name of the endpoint.
--- a/api_gateway/network/upstream/pool.py
+++ b/api_gateway/network/upstream/pool.py
@@ -120,8 +120,8 @@
     def _accepts_new_requests(self, endpoint: UpstreamEndpoint) -> bool:
         """Return whether an endpoint is still the listed process and is not draining.
 
-        An attempt chosen for an earlier process must not be sent to its successor, which is in slow start and
-        may be sent fewer requests.
+        An attempt chosen for an earlier process must not be sent to its successor, which starts with the load
+        limit of a cold endpoint.
         """
         return self._endpoints.get(endpoint.name) is endpoint and not endpoint.is_draining
 
--- a/tests/test_acceptance_cold_endpoints.py
+++ b/tests/test_acceptance_cold_endpoints.py
@@ -36,10 +36,10 @@
     slow_start_s: float,
     requests_per_s: float,
 ) -> None:
-    """Requests are distributed unevenly over the gateways.
+    """Each gateway limits its own requests to a cold endpoint, which receives those of all gateways.
 
     The cases have small and large overload multiples, short and long slow starts, and low and high request
-    rates.
+    rates, with requests distributed unevenly over the gateways.
     """
     simulation = FleetSimulation(
         gateways=gateways,
@@ -68,7 +68,10 @@
 
 
 def test_endpoints_that_become_warm_together_are_not_overloaded() -> None:
-    """Five of fifty endpoints end their slow start at once; their low load before must not attract load."""
+    """Five of fifty endpoints end their slow start at once.
+
+    Since few requests were sent to them until then, all gateways may prefer them and overload them together.
+    """
     for seed in (1, 2, 3):
         simulation = FleetSimulation(requests_per_s=15, overload_multiple=2.5, slow_start_s=5, seed=seed)
         simulation.run(6)
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -37,6 +37,8 @@
 
 
 def test_late_response_is_not_matched_to_the_next_call() -> None:
+    """The response to a call that has timed out arrives together with that to the next call."""
+
     async def scenario() -> None:
         fake = FakeServer(lambda request: None)
         counter, replies = await start_client(fake, 400)
@@ -179,6 +181,11 @@
 
 
 def test_call_made_while_a_connection_closes_goes_to_another() -> None:
+    """A malformed response closes the connection, and its result leads to the next call at once.
+
+    On the closing connection, that call would fail.
+    """
+
     async def scenario() -> None:
         fake = FakeServer(lambda request: response_bytes(b"many" if len(fake.received) == 1 else b"1"))
         await fake.start()
@@ -211,6 +218,11 @@
 def test_single_silent_connection_is_closed_but_not_several(
     silent_count: int, results: set[CounterResult]
 ) -> None:
+    """A network path may fail for a single connection, while the counter responds on the others.
+
+    Calls on it must not be reported as timed out, as those to a slow counter are.
+    """
+
     async def scenario() -> None:
         silent: list[asyncio.StreamWriter] = []
 
@@ -277,6 +289,8 @@
 
 
 def test_counter_value_of_the_old_counter_is_not_reported_after_a_change_of_address() -> None:
+    """The values of two counters cannot be compared, so a late value of the old one must not be used."""
+
     async def scenario() -> None:
         old, new = FakeServer(lambda request: None), FakeServer(lambda request: response_bytes(b"2"))
         counter, replies = await start_client(old, 2000)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -50,7 +50,7 @@
 
 
 class FakeConnection:
-    """A connection that records the targets of its polls, and whether the watch has closed it."""
+    """A connection that records the targets of its polls, and whether the watch has aborted it."""
 
     def __init__(self) -> None:
         self.polls: list[str] = []
@@ -128,6 +128,7 @@
 
 
 def test_first_polls_of_a_fleet_are_spread_over_the_time_they_take() -> None:
+    """If a whole fleet polled at once, polls would time out in the queue of discovery."""
     delays_s = []
     for seed in range(40):
         loop = FakeLoop()
@@ -171,6 +172,7 @@
 
 
 def test_retry_of_a_rejected_poll_asks_for_changes_only() -> None:
+    """Full lists would be the largest load for a discovery that rejects polls because it is overloaded."""
     loop, updates = FakeLoop(), []
     watch = create_watch(loop, 1, updates)
     watch.start()
@@ -185,6 +187,7 @@
 
 
 def test_malformed_response_is_followed_by_a_poll_for_the_full_list() -> None:
+    """The malformed response may have held changes; the full list includes them."""
     loop, updates = FakeLoop(), []
     watch = create_watch(loop, 1, updates)
     watch.start()
@@ -203,6 +206,7 @@
 
 @pytest.mark.parametrize(("spread_s", "limit_s"), [(0.0, 6.0), (8.0, 6.0)])
 def test_silent_connection_is_replaced_before_a_change_must_be_known(spread_s: float, limit_s: float) -> None:
+    """Discovery responds once and then no more, on a connection that stays open."""
     for seed in range(20):
         loop = FakeLoop()
         watch = create_watch(loop, seed, spread_s=spread_s)
@@ -225,6 +229,7 @@
 
 
 def test_silent_agent_is_polled_again_within_the_drain_grace() -> None:
+    """The bound is the sum of the timeout of an agent, the limit of its backoff, and a margin."""
     loop = FakeLoop()
     watch = create_watch(loop, spread_s=0.0)
     watch.start()
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -26,6 +26,11 @@
 def test_deadline_timer_responds_in_time_and_later_actions_are_ignored(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """The decisions may act on a request after the deadline timer has responded with 504.
+
+    The client must not get a second response, and no endpoint another attempt.
+    """
+
     async def scenario() -> None:
         endpoint = FakeServer(lambda request: None)
         dispatcher, decisions = await start_dispatcher(monkeypatch, endpoint)
@@ -92,6 +97,8 @@
 
 
 def test_exception_in_the_decisions_fails_one_request_only(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A fault of the decisions on one request must not leave it without a response or affect the next one."""
+
     async def scenario() -> None:
         endpoint = FakeServer(lambda request: response_bytes(b"served"))
         dispatcher, decisions = await start_dispatcher(monkeypatch, endpoint)
@@ -108,6 +115,11 @@
 
 
 def test_each_attempt_has_exactly_one_result(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Covers a cancelled attempt, one at an unknown endpoint and one beyond the limit of attempts.
+
+    Without its result, an attempt would stay in flight in the decisions.
+    """
+
     async def scenario() -> None:
         endpoint = FakeServer(lambda request: None)
         dispatcher, decisions = await start_dispatcher(monkeypatch, endpoint)
@@ -161,6 +173,8 @@
 
 
 def test_event_loop_stall_is_not_counted_as_latency_of_the_endpoint(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The response arrives in time, but stays unread while the event loop is stalled."""
+
     async def scenario() -> None:
         endpoint = FakeServer(lambda request: None)
         dispatcher, decisions = await start_dispatcher(monkeypatch, endpoint)
--- a/tests/test_program_upstream.py
+++ b/tests/test_program_upstream.py
@@ -58,6 +58,7 @@
 async def test_connection_reset_is_retried_only_if_the_class_allows_it(
     tmp_path: Path, class_name: str, status: int, attempts: int
 ) -> None:
+    """After a reset it is unknown whether the endpoint has run the request, so a retry may run it twice."""
     responses = iter((b"", response_bytes(b"served")))
     async with RunningProgram(tmp_path, lambda _: next(responses), lambda _: next(responses)) as program:
         assert await program.request_status(request_bytes(class_name)) == status
@@ -81,6 +82,7 @@
 async def test_failed_response_of_unsafe_request_is_retried_only_with_x_not_run(
     tmp_path: Path, response: bytes, status: int, attempts: int
 ) -> None:
+    """Only X-Not-Run on 503 or 504 shows that the endpoint has not run the request."""
     responses = iter((response, response_bytes(b"served")))
 
     def respond(request: ReceivedMessage) -> bytes:
@@ -98,6 +100,7 @@
 
 @async_test()
 async def test_refused_connection_is_retried_for_unsafe_requests(tmp_path: Path) -> None:
+    """The endpoint cannot have run a request that was never sent."""
     async with RunningProgram(tmp_path, serve, serve) as program:
         program.endpoints[0].stop()  # its port refuses connections from now on
         for i in range(8):
@@ -107,6 +110,7 @@
 
 @async_test()
 async def test_silent_endpoint_times_out_and_its_connection_is_closed(tmp_path: Path) -> None:
+    """A late response on the connection could be returned to the next request."""
     async with RunningProgram(
         tmp_path, lambda request: None if request.headers["x-request-id"] == "silent" else serve(request)
     ) as program:
@@ -151,6 +155,7 @@
 
 @async_test()
 async def test_response_that_arrived_during_a_stall_is_not_timed_out(tmp_path: Path) -> None:
+    """The program is stopped until after the timeout, while the response waits in the socket buffer."""
     async with RunningProgram(tmp_path, stay_silent) as program:
         (endpoint,) = program.endpoints
         task = asyncio.create_task(program.request_status(request_bytes("pay")))
