--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -1,4 +1,4 @@
-"""The client of the counter: results of its calls, and the connections that it keeps."""
+"""The client of the counter: results of its calls, and replacement of its connections."""
 
 from __future__ import annotations
 
@@ -37,6 +37,8 @@
 
 
 def test_late_response_is_not_matched_to_the_next_call() -> None:
+    """The response to a call that has timed out arrives together with that to the next call."""
+
     async def scenario() -> None:
         fake = FakeServer(lambda request: None)
         counter, replies = await start_client(fake, 400)
@@ -65,7 +67,7 @@
         (
             lambda request: b"",
             CounterResult.CONNECTION_LOST,
-        ),  # closed after the call was written: it may have been added
+        ),  # closed after the write: the counter may have added the amount
         (lambda request: response_bytes(b"", 503), CounterResult.OVERLOADED),
         (lambda request: response_bytes(b"many"), CounterResult.MALFORMED_RESPONSE),
         (lambda request: response_bytes(b"nan"), CounterResult.MALFORMED_RESPONSE),
@@ -87,7 +89,7 @@
 
 
 def test_configured_timeout_allows_for_late_responses() -> None:
-    """A busy counter answers later than the configured time, and its totals are valid."""
+    """A busy counter may respond after the configured time, and its counter values are still valid."""
 
     async def scenario() -> None:
         fake = FakeServer(lambda request: None)
@@ -122,7 +124,7 @@
 
 
 def test_silent_connection_is_replaced() -> None:
-    """A counter that is cut off leaves its connection open; later calls must not be written to it."""
+    """If the network to the counter fails, its connection stays open; no more calls may be written to it."""
 
     async def scenario() -> None:
         fake = FakeServer(lambda request: None)
@@ -141,7 +143,7 @@
 
 
 def test_connection_that_is_reset_as_it_is_established_is_replaced(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its end is reported before the task that established it is done."""
+    """The end of the connection is reported before the task that establishes it is done."""
 
     async def scenario() -> None:
         listener = socket.create_server((LOOPBACK, 0))
@@ -167,7 +169,7 @@
         )
         counter.start()
         await ended.wait()
-        await asyncio.sleep(0.01)  # the task that established it is done, too
+        await asyncio.sleep(0.01)  # lets the task that established the connection end, too
         fake = FakeServer(lambda request: response_bytes(b"1"))
         fake.asyncio_server = await asyncio.start_server(fake._serve, sock=listener)
         counter.increment(IncrementCounter("a", 1, 1000))
@@ -179,6 +181,11 @@
 
 
 def test_call_made_while_a_connection_closes_goes_to_another() -> None:
+    """A malformed response closes the connection, and its result leads to the next call at once.
+
+    On the closing connection, that call would fail.
+    """
+
     async def scenario() -> None:
         fake = FakeServer(lambda request: response_bytes(b"many" if len(fake.received) == 1 else b"1"))
         await fake.start()
@@ -204,13 +211,18 @@
 @pytest.mark.parametrize(
     ("silent_count", "results"),
     [
-        (1, {CounterResult.CONNECTION_LOST}),  # the connection is closed
-        (2, {CounterResult.TIMED_OUT}),  # on more than one connection: the counter is slow
+        (1, {CounterResult.CONNECTION_LOST}),  # the silent connection is closed
+        (2, {CounterResult.TIMED_OUT}),  # more than one connection is silent: the counter is slow
     ],
 )
 def test_single_silent_connection_is_closed_but_not_several(
     silent_count: int, results: set[CounterResult]
 ) -> None:
+    """A network path may fail for a single connection, while the counter responds on the others.
+
+    Calls on it must not be reported as timed out, as those to a slow counter are.
+    """
+
     async def scenario() -> None:
         silent: list[asyncio.StreamWriter] = []
 
@@ -277,6 +289,8 @@
 
 
 def test_counter_value_of_the_old_counter_is_not_reported_after_a_change_of_address() -> None:
+    """The values of two counters cannot be compared, so a late value of the old one must not be used."""
+
     async def scenario() -> None:
         old, new = FakeServer(lambda request: None), FakeServer(lambda request: response_bytes(b"2"))
         counter, replies = await start_client(old, 2000)
@@ -284,7 +298,7 @@
         counter.increment(IncrementCounter("a", 1, 1000))
         await old.wait_until(lambda fake: len(fake.received) == 1)
         counter.change_address((LOOPBACK, new.port))
-        old.received[0].writer.write(response_bytes(b"70"))  # late, and valid for the old counter alone
+        old.received[0].writer.write(response_bytes(b"70"))  # late, and a value of the old counter only
         assert (await replies.get()).result == CounterResult.MALFORMED_RESPONSE
         counter.increment(IncrementCounter("a", 1, 1000))
         counter_reply = await replies.get()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The watch on the endpoint list: what it polls for, when it retries, and what it gives up."""
+"""The discovery watch: what its polls request, when they are retried, and when they time out."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 class FakeConnection:
-    """A connection that records the targets of its polls, and whether the watch has closed it."""
+    """A connection that records the targets of its polls, and whether the watch has aborted it."""
 
     def __init__(self) -> None:
         self.polls: list[str] = []
@@ -64,7 +64,7 @@
 
 
 class FakeLoop:
-    """A loop whose clock and connections the test advances by hand."""
+    """An event loop whose timers and connects run when the test says so."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -89,7 +89,7 @@
         return min((t for t in self.timers if t.is_pending), key=lambda t: t.due_at)
 
     def fire(self) -> float:
-        """Run the next timer, and return the seconds until it was due."""
+        """Run the next timer, and return the time in s until it was due."""
         timer = self.next_timer()
         timer.is_pending = False
         delay, self.now = timer.due_at - self.now, max(timer.due_at, self.now)
@@ -107,7 +107,7 @@
 
 
 def reject_poll(loop: FakeLoop, watch: DiscoveryWatch) -> float:
-    """Answer one poll with 503, and return the seconds of the backoff after it."""
+    """Respond to one poll with 503, and return the backoff after it in s."""
     connection = loop.complete_connect()
     watch.handle_response(connection, response(503), True)
     assert connection.is_aborted
@@ -128,6 +128,7 @@
 
 
 def test_first_polls_of_a_fleet_are_spread_over_the_time_they_take() -> None:
+    """If a whole fleet polled at once, polls would time out in the queue of discovery."""
     delays_s = []
     for seed in range(40):
         loop = FakeLoop()
@@ -140,7 +141,10 @@
 
 
 def test_rejected_polls_are_retried_within_a_cycle_and_with_jitter() -> None:
-    """The delays fill the whole cycle and no more, so that a change is known in time under overload, too."""
+    """The delays are spread over one whole cycle and never longer.
+
+    Otherwise, a change would be known too late while discovery is overloaded.
+    """
     delays = []
     for seed in range(40):
         loop = FakeLoop()
@@ -168,6 +172,7 @@
 
 
 def test_retry_of_a_rejected_poll_asks_for_changes_only() -> None:
+    """Full lists would be the largest load for a discovery that rejects polls because it is overloaded."""
     loop, updates = FakeLoop(), []
     watch = create_watch(loop, 1, updates)
     watch.start()
@@ -182,6 +187,7 @@
 
 
 def test_malformed_response_is_followed_by_a_poll_for_the_full_list() -> None:
+    """The malformed response may have held changes; the full list includes them."""
     loop, updates = FakeLoop(), []
     watch = create_watch(loop, 1, updates)
     watch.start()
@@ -200,6 +206,7 @@
 
 @pytest.mark.parametrize(("spread_s", "limit_s"), [(0.0, 6.0), (8.0, 6.0)])
 def test_silent_connection_is_replaced_before_a_change_must_be_known(spread_s: float, limit_s: float) -> None:
+    """Discovery responds once and then no more, on a connection that stays open."""
     for seed in range(20):
         loop = FakeLoop()
         watch = create_watch(loop, seed, spread_s=spread_s)
@@ -222,6 +229,7 @@
 
 
 def test_silent_agent_is_polled_again_within_the_drain_grace() -> None:
+    """The bound is the sum of the timeout of an agent, the limit of its backoff, and a margin."""
     loop = FakeLoop()
     watch = create_watch(loop, spread_s=0.0)
     watch.start()
--- a/tests/test_program_upstream.py
+++ b/tests/test_program_upstream.py
@@ -1,4 +1,4 @@
-"""The real program towards its endpoints: how the result of an attempt becomes a response or a retry."""
+"""The program and its endpoints: which results of an attempt lead to a response, and which to a retry."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 @async_test(limit_s=5)  # less than one deadline of 6 s
 async def test_rejection_is_immediate_and_has_retry_after(tmp_path: Path) -> None:
-    """A rejected request is answered at once, not shortly before its deadline."""
+    """A rejected request gets its response at once, not shortly before its deadline."""
     async with RunningProgram(tmp_path, serve) as program:
         responses = [
             await program.request(request_bytes(plan="small", x_request_id=b"id-%d" % i)) for i in range(6)
@@ -58,6 +58,7 @@
 async def test_connection_reset_is_retried_only_if_the_class_allows_it(
     tmp_path: Path, class_name: str, status: int, attempts: int
 ) -> None:
+    """After a reset it is unknown whether the endpoint has run the request, so a retry may run it twice."""
     responses = iter((b"", response_bytes(b"served")))
     async with RunningProgram(tmp_path, lambda _: next(responses), lambda _: next(responses)) as program:
         assert await program.request_status(request_bytes(class_name)) == status
@@ -81,6 +82,7 @@
 async def test_failed_response_of_unsafe_request_is_retried_only_with_x_not_run(
     tmp_path: Path, response: bytes, status: int, attempts: int
 ) -> None:
+    """Only X-Not-Run on 503 or 504 shows that the endpoint has not run the request."""
     responses = iter((response, response_bytes(b"served")))
 
     def respond(request: ReceivedMessage) -> bytes:
@@ -98,6 +100,7 @@
 
 @async_test()
 async def test_refused_connection_is_retried_for_unsafe_requests(tmp_path: Path) -> None:
+    """The endpoint cannot have run a request that was never sent."""
     async with RunningProgram(tmp_path, serve, serve) as program:
         program.endpoints[0].stop()  # its port refuses connections from now on
         for i in range(8):
@@ -107,6 +110,7 @@
 
 @async_test()
 async def test_silent_endpoint_times_out_and_its_connection_is_closed(tmp_path: Path) -> None:
+    """A late response on the connection could be returned to the next request."""
     async with RunningProgram(
         tmp_path, lambda request: None if request.headers["x-request-id"] == "silent" else serve(request)
     ) as program:
@@ -131,9 +135,9 @@
 
 @async_test()
 async def test_reset_of_an_idle_connection_does_not_eject_the_endpoint(tmp_path: Path) -> None:
-    """An endpoint may lose idle connections: the request is retried on a new one."""
+    """An endpoint may reset idle connections; the request is then retried on a new one."""
     used: set[int] = set()
-    writers: list[asyncio.StreamWriter] = []  # kept, so that no id is used twice
+    writers: list[asyncio.StreamWriter] = []  # kept alive, so that no object id is reused
 
     def respond(request: ReceivedMessage) -> bytes:
         is_reused = id(request.writer) in used
@@ -151,6 +155,7 @@
 
 @async_test()
 async def test_response_that_arrived_during_a_stall_is_not_timed_out(tmp_path: Path) -> None:
+    """The program is stopped until after the timeout, while the response waits in the socket buffer."""
     async with RunningProgram(tmp_path, stay_silent) as program:
         (endpoint,) = program.endpoints
         task = asyncio.create_task(program.request_status(request_bytes("pay")))
@@ -200,7 +205,7 @@
 async def test_bytes_after_a_response_are_never_parsed_as_the_next_response(
     tmp_path: Path, more: bytes, late: bool
 ) -> None:
-    """Neither right behind the response nor a packet later."""
+    """Whether they arrive with the response or shortly after it, the connection must not be reused."""
 
     def respond(request: ReceivedMessage) -> bytes:
         response = response_bytes(request.headers["x-request-id"].encode())
