--- a/api_gateway/decisions/latency.py
+++ b/api_gateway/decisions/latency.py
@@ -89,8 +89,8 @@
         typical_ms = sorted(self._remaining_times_ms)[count * TYPICAL_PERCENTILE // 100]
         agreeing_count = sum(
             1
-            for remaining_ms in self._remaining_times_ms
-            if abs(remaining_ms - typical_ms) <= SAME_TIME_TOLERANCE * typical_ms
+            for remaining_time_ms in self._remaining_times_ms
+            if abs(remaining_time_ms - typical_ms) <= SAME_TIME_TOLERANCE * typical_ms
         )
         is_conclusive = count >= SAMPLED_REQUESTS // 2 and 3 * agreeing_count >= count
         self._min_full_timeout_ms = (1 - SAME_TIME_TOLERANCE) * typical_ms if is_conclusive else 0.0
@@ -110,7 +110,9 @@
 
     def spent_ms(self, request: RequestReceived, request_class: RequestClass) -> float:
         """Record a request, and return the time spent before it in milliseconds; 0 if that is unknown."""
-        min_full_timeout_ms = self._client_timeouts[request_class.name].record_request(request.time_left_ms)
-        if request.time_left_ms >= min_full_timeout_ms:
+        min_full_timeout_ms = self._client_timeouts[request_class.name].record_request(
+            request.remaining_time_ms
+        )
+        if request.remaining_time_ms >= min_full_timeout_ms:
             return 0.0
-        return max(request_class.deadline_ms - request.time_left_ms, 0.0)
+        return max(request_class.deadline_ms - request.remaining_time_ms, 0.0)
--- a/api_gateway/decisions/request_flow.py
+++ b/api_gateway/decisions/request_flow.py
@@ -96,7 +96,7 @@
         plan = self._plans.get(request.plan_name)
         if request_class is None or plan is None:
             self._rejections.reject(request.request_id, RejectReason.UNKNOWN_CLASS_OR_PLAN)
-        elif request.time_left_ms <= 0:
+        elif request.remaining_time_ms <= 0:
             self._rejections.reject(request.request_id, RejectReason.DEADLINE_PASSED)
         elif not self._endpoint_table:
             self._rejections.reject(request.request_id, RejectReason.NO_ENDPOINTS)
@@ -106,7 +106,7 @@
     def _receive_valid(
         self, request: RequestReceived, request_class: RequestClass, plan: Plan, now_ms: float
     ) -> None:
-        deadline_at_ms = now_ms + request.time_left_ms
+        deadline_at_ms = now_ms + request.remaining_time_ms
         objective_at_ms = self._objective_at_ms(request, request_class, deadline_at_ms, now_ms)
         if objective_at_ms <= now_ms:
             self._rejections.reject(request.request_id, RejectReason.OBJECTIVE_PASSED)
--- a/api_gateway/model/events.py
+++ b/api_gateway/model/events.py
@@ -25,7 +25,7 @@
         class_name: Name of its request class.
         plan_name: Name of its tenant's plan.
         tenant: Name of the tenant that is charged for it.
-        time_left_ms: Remaining time until the client's deadline.
+        remaining_time_ms: Remaining time until the client's deadline.
         units: Its size in quota units, as estimated by the client.
         gateway_count: Number of gateways that the tenant's requests may come through.
         first_gateway: Index of the first of these gateways.
@@ -36,7 +36,7 @@
     class_name: str
     plan_name: str
     tenant: str
-    time_left_ms: float
+    remaining_time_ms: float
     units: float = 1.0
     gateway_count: int = 1
     first_gateway: int = 0
--- a/api_gateway/network/downstream/request_parsing.py
+++ b/api_gateway/network/downstream/request_parsing.py
@@ -195,14 +195,14 @@
                 "X-Class and Plan: expected a class and a plan of the settings, "
                 f"got {headers.get(REQUEST_CLASS_HEADER)!r} and {headers.get(PLAN_HEADER)!r}"
             )
-        remaining_ms = _parse_deadline(headers.get(DEADLINE_HEADER, b""))
+        remaining_time_ms = _parse_deadline(headers.get(DEADLINE_HEADER, b""))
         quota_info = self.parse_quota_info(headers.get(QUOTA_INFO_HEADER, b""))
         return InboundRequest(
             x_request_id=headers.get(REQUEST_ID_HEADER, b""),
             class_name=request_class.name,
             plan_name=plan_name,
             tenant=tenant,
-            remaining_ms=min(remaining_ms, request_class.deadline_ms),
+            remaining_time_ms=min(remaining_time_ms, request_class.deadline_ms),
             units=quota_info.units,
             gateway_count=quota_info.gateway_count,
             first_gateway=quota_info.first_gateway,
--- a/api_gateway/network/open_requests.py
+++ b/api_gateway/network/open_requests.py
@@ -42,7 +42,7 @@
         class_name: Name of its request class.
         plan_name: Name of its tenant's plan.
         tenant: Id of the tenant whose quota it uses.
-        remaining_ms: Time until the deadline, counted from when the client sent the request.
+        remaining_time_ms: Time until the deadline, counted from when the client sent the request.
         units: Its size in quota units, as estimated by the client.
         gateway_count: Number of gateways that receive the requests of its tenant.
         first_gateway: Index of the first of these gateways.
@@ -56,7 +56,7 @@
     class_name: str
     plan_name: str
     tenant: str
-    remaining_ms: float
+    remaining_time_ms: float
     units: float
     gateway_count: int
     first_gateway: int
--- a/api_gateway/network/request_handler.py
+++ b/api_gateway/network/request_handler.py
@@ -89,8 +89,10 @@
         # The deadline counts from when the client sent the request, not from when this process handles it.
         now = time.monotonic()
         queued_ms = (now - inbound.read_at) * 1000
-        remaining_ms = inbound.remaining_ms - CLIENT_ROUND_TRIP_MS - self._lag.lag_ms(now) - queued_ms
-        timeout_s = (remaining_ms - DEADLINE_MARGIN_MS) / 1000
+        remaining_time_ms = (
+            inbound.remaining_time_ms - CLIENT_ROUND_TRIP_MS - self._lag.lag_ms(now) - queued_ms
+        )
+        timeout_s = (remaining_time_ms - DEADLINE_MARGIN_MS) / 1000
         request = self.requests.add(client, inbound, now + timeout_s)
         request.deadline_timer = self._loop.call_later(max(timeout_s, 0.0), self._deadline_reached, request)
         self._post_event(
@@ -99,7 +101,7 @@
                 class_name=inbound.class_name,
                 plan_name=inbound.plan_name,
                 tenant=inbound.tenant,
-                time_left_ms=remaining_ms - DECISION_MARGIN_MS,
+                remaining_time_ms=remaining_time_ms - DECISION_MARGIN_MS,
                 units=inbound.units,
                 gateway_count=inbound.gateway_count,
                 first_gateway=inbound.first_gateway,
--- a/api_gateway/simulator/codec.py
+++ b/api_gateway/simulator/codec.py
@@ -108,15 +108,23 @@
 
 
 def _decode_request_received(values: list[str]) -> RequestReceived:
-    request_id, class_name, plan_name, tenant, remaining_time, units, gateway_count, first_gateway, flags = (
-        values
-    )
+    (
+        request_id,
+        class_name,
+        plan_name,
+        tenant,
+        remaining_time_ms,
+        units,
+        gateway_count,
+        first_gateway,
+        flags,
+    ) = values
     return RequestReceived(
         request_id=request_id,
         class_name=class_name,
         plan_name=plan_name,
         tenant=tenant,
-        time_left_ms=decode_number(remaining_time),
+        remaining_time_ms=decode_number(remaining_time_ms),
         units=decode_number(units),
         gateway_count=decode_integer(gateway_count),
         first_gateway=decode_integer(first_gateway),
--- a/testbed/simulated_gateways.py
+++ b/testbed/simulated_gateways.py
@@ -241,7 +241,7 @@
             class_name=gateway_configuration.request_class_name(self.requests_sent),
             plan_name=gateway_configuration.PLAN_NAME,
             tenant=f"{tenant:016x}",
-            remaining_ms=gateway_configuration.REQUEST_DEADLINE_MS,
+            remaining_time_ms=gateway_configuration.REQUEST_DEADLINE_MS,
             units=units,
             gateway_count=self._fleet_size,
             first_gateway=0,
--- a/tests/support/dispatcher_driver.py
+++ b/tests/support/dispatcher_driver.py
@@ -80,7 +80,7 @@
         class_name="pay",
         plan_name="team",
         tenant="0" * 16,
-        remaining_ms=deadline_ms,
+        remaining_time_ms=deadline_ms,
         units=1,
         gateway_count=1,
         first_gateway=0,
--- a/tests/support/gateway_driver.py
+++ b/tests/support/gateway_driver.py
@@ -103,7 +103,7 @@
         class_name: str = "read",
         plan: str = "open",
         tenant: str = "c",
-        time_left_ms: float = 4000,
+        remaining_time_ms: float = 4000,
         units: float = 1,
         after_ms: float = 0.0,
         gateway_count: int = 3,
@@ -112,7 +112,7 @@
         self.serial += 1
         request_id = f"r{self.serial}"
         return request_id, self.deliver(
-            RequestReceived(request_id, class_name, plan, tenant, time_left_ms, units, gateway_count, 0),
+            RequestReceived(request_id, class_name, plan, tenant, remaining_time_ms, units, gateway_count, 0),
             after_ms,
         )
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -58,5 +58,6 @@
     with monkeypatch.context() as patch:
         patch.setattr(driver.gateway.attempt_flow, "start", fail)
         with pytest.raises(RuntimeError):
-            driver.send_request(plan="basic", time_left_ms=200)  # fails after it has added a counter call
+            # Fails after it has added a counter call.
+            driver.send_request(plan="basic", remaining_time_ms=200)
     assert driver.deliver(TimerFired("unknown")) == []
--- a/tests/test_request_flow.py
+++ b/tests/test_request_flow.py
@@ -111,7 +111,7 @@
         class_name = self.rng.choice(["read", "put", "pay"])
         self.class_names[f"r{self.driver.serial + 1}"] = class_name
         self.check_actions(
-            self.driver.send_request(class_name, time_left_ms=self.rng.choice([5, 400, 4000]))[1]
+            self.driver.send_request(class_name, remaining_time_ms=self.rng.choice([5, 400, 4000]))[1]
         )
 
     def end_some_attempt(self) -> None:
@@ -186,8 +186,8 @@
     driver = GatewayDriver()
     assert len(actions_of_type(driver.send_request(class_name="unknown")[1], RejectRequest)) == 1
     assert len(actions_of_type(driver.send_request(plan="unknown")[1], RejectRequest)) == 1
-    assert len(actions_of_type(driver.send_request(time_left_ms=0)[1], RejectRequest)) == 1
-    assert len(actions_of_type(driver.send_request(time_left_ms=-5)[1], RejectRequest)) == 1
+    assert len(actions_of_type(driver.send_request(remaining_time_ms=0)[1], RejectRequest)) == 1
+    assert len(actions_of_type(driver.send_request(remaining_time_ms=-5)[1], RejectRequest)) == 1
 
 
 def test_a_withdrawn_attempt_is_retried_elsewhere_at_no_cost() -> None:
@@ -242,7 +242,7 @@
 def test_rejections_on_receipt_carry_their_reason() -> None:
     driver = GatewayDriver()
     assert reason_of(driver.send_request(plan="unknown")[1]) is RejectReason.UNKNOWN_CLASS_OR_PLAN
-    assert reason_of(driver.send_request(time_left_ms=0)[1]) is RejectReason.DEADLINE_PASSED
+    assert reason_of(driver.send_request(remaining_time_ms=0)[1]) is RejectReason.DEADLINE_PASSED
     assert reason_of(GatewayDriver(endpoints=0).send_request()[1]) is RejectReason.NO_ENDPOINTS
 
 
--- a/tests/test_request_parsing.py
+++ b/tests/test_request_parsing.py
@@ -52,7 +52,7 @@
         class_name="read",
         plan_name="basic",
         tenant="00000000b4d65521",
-        remaining_ms=250.0,
+        remaining_time_ms=250.0,
         units=1.5,
         gateway_count=2,
         first_gateway=1,
@@ -77,10 +77,12 @@
 
 
 @pytest.mark.parametrize(
-    ("value", "remaining_ms"), [(b"900u", 0.9), (b"250m", 250.0), (b"1.5m", 1.5), (b"60000m", 4000.0)]
+    ("value", "remaining_time_ms"), [(b"900u", 0.9), (b"250m", 250.0), (b"1.5m", 1.5), (b"60000m", 4000.0)]
 )
-def test_deadline_is_in_milliseconds_and_at_most_that_of_the_class(value: bytes, remaining_ms: float) -> None:
-    assert validate(parsed_request(b"read", b"GET", x_deadline=value)).remaining_ms == remaining_ms
+def test_deadline_is_in_milliseconds_and_at_most_that_of_the_class(
+    value: bytes, remaining_time_ms: float
+) -> None:
+    assert validate(parsed_request(b"read", b"GET", x_deadline=value)).remaining_time_ms == remaining_time_ms
 
 
 @pytest.mark.parametrize(
--- a/tests/test_usage_reporting.py
+++ b/tests/test_usage_reporting.py
@@ -61,7 +61,7 @@
 ) -> None:
     """A counter call that times out must not use up the time in which the request can be served."""
     driver = GatewayDriver(counter_timeout_ms=30)
-    request_id, actions = driver.send_request(plan="basic", time_left_ms=remaining_time_ms)
+    request_id, actions = driver.send_request(plan="basic", remaining_time_ms=remaining_time_ms)
     assert len(actions_of_type(actions, StartAttempt)) + len(actions_of_type(actions, RejectRequest)) == 1
     assert not driver.gateway.usage_reporter.is_waiting(request_id)
 
