--- a/api_gateway/decisions/quota.py
+++ b/api_gateway/decisions/quota.py
@@ -17,7 +17,7 @@
 REFILLS_PER_WINDOW = 2.0  # An empty bucket could be refilled this many times in one window.
 MAX_COUNT_TTL_MS = 60000.0  # Maximum time to live of a count at the counter service.
 MIN_WINDOW_MS = 1.0
-# Usage is uneven over the gateways: while there is no overload, each may use this multiple of an even split.
+# Usage is uneven over the gateways: while there is no overload, each may use this multiple of an even share.
 ESTIMATE_HEADROOM = 1.5
 PEER_USAGE_TIME_CONSTANT_MS = 1000.0  # Minimum time constant of the other gateways' usage rate.
 ROUNDING_TOLERANCE = 1e-9
@@ -51,7 +51,7 @@
 
     @property
     def headroom(self) -> float:
-        """Multiple of an even split of the quota that one gateway may use."""
+        """Multiple of an even share of the quota that one gateway may use."""
         return ESTIMATE_HEADROOM if self._admission.admitted_fraction >= 1 else 1.0
 
 
@@ -124,22 +124,22 @@
     def refill(self, now_ms: float) -> float:
         """Update the estimate by the refill, less the estimated usage of the other gateways.
 
-        Without a counter value, or while the counter is unreliable, the estimate rises at least at the rate
-        of this gateway's share of an even split.
+        Without a counter value, or while the counter is unreliable, the estimate rises at least by this
+        gateway's even share of the refill.
 
         Returns:
             Estimate of the remaining units.
         """
         elapsed_ms = max(now_ms - self.remaining_at_ms, 0.0)
         burst, rate = self.plan.quota_burst, self.plan.quota_rate / 1000
-        even_split = min(1.0, self._conditions.headroom / self.gateway_count)
+        even_share = min(1.0, self._conditions.headroom / self.gateway_count)
         self.remaining_upper_bound = min(burst, self.remaining_upper_bound + rate * elapsed_ms)
         if self.last_counter_value is None:
-            net_refill_rate, capacity = 0.0, burst * even_split
+            net_refill_rate, capacity = 0.0, burst * even_share
         else:
             net_refill_rate, capacity = rate - self.peer_usage_rate, burst
         if self._is_estimated:
-            net_refill_rate = max(net_refill_rate, rate * even_split)
+            net_refill_rate = max(net_refill_rate, rate * even_share)
         self.remaining = min(capacity, self.remaining + net_refill_rate * elapsed_ms)
         self.remaining_at_ms += elapsed_ms
         return self.remaining
--- a/api_gateway/decisions/random_rounding.py
+++ b/api_gateway/decisions/random_rounding.py
@@ -8,7 +8,7 @@
 def round_randomly(available: float, required: float, rng: Random) -> float:
     """Round a budget that is too small for a request to 0 or to the size of the request.
 
-    The expected value of the result is the budget. A budget that is split over many gateways may be too small
+    The expected value of the result is the budget. A budget that is shared by many gateways may be too small
     for one request at each of them. With rounding, a few gateways admit a request each, and the sum over all
     gateways stays correct.
 
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -122,7 +122,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_small_token_buckets_over_many_gateways_are_not_rejected_within_quota(seed: int) -> None:
-    """58 of 60 gateways share each tenant's bucket of 9 units: an even split is less than one request.
+    """58 of 60 gateways share each tenant's bucket of 9 units: an even share is less than one request.
 
     The counter rejects no calls.
     """
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -51,7 +51,7 @@
     assert 3 <= send_requests(driver, 12, peer_usage=1.0, plan="basic") <= 4
 
 
-def test_without_a_counter_a_gateway_keeps_to_an_even_split() -> None:
+def test_without_a_counter_a_gateway_keeps_to_an_even_share() -> None:
     driver = GatewayDriver()
     driver.now_ms += 10000
     sent = 0
@@ -64,8 +64,8 @@
 
 
 @pytest.mark.parametrize("age_s", [2, 30])
-def test_even_splits_below_one_unit_add_up_over_the_fleet(age_s: int) -> None:
-    """Without a counter, an even split over many gateways is less than one request at each of them.
+def test_even_shares_below_one_unit_add_up_over_the_fleet(age_s: int) -> None:
+    """Without a counter, an even share for each of many gateways is less than one request at each of them.
 
     All gateways together must still stay near the quota: 300 gateways get three requests of one tenant each.
     """
