--- a/api_gateway/decisions/gateway.py
+++ b/api_gateway/decisions/gateway.py
@@ -123,7 +123,7 @@
             settings=self.settings,
             uptime=self.uptime,
             conditions=QuotaConditions(self.admission, self.counter_health, self.rng),
-            on_forget=self.usage_reporter.forget_calls,
+            on_evict=self.usage_reporter.ignore_replies,
         )
 
     def _build_load_sampler(self) -> None:
@@ -242,7 +242,7 @@
         self.traffic.sweep_attempts(elapsed_ms, age_ms)
         self.subset_sizer.sweep(len(self.endpoints.ring), self._is_overloaded())
         self.request_flow.decide_overdue(now_ms)
-        self.tenants.forget_idle(now_ms)
+        self.tenants.evict_idle(now_ms)
         self._actions.append(self.sweep_timer.restart(now_ms))
 
     def _is_overloaded(self) -> bool:
--- a/api_gateway/decisions/request_flow.py
+++ b/api_gateway/decisions/request_flow.py
@@ -149,7 +149,7 @@
         if plan.quota_rate > 0:
             window, started_at_ms = tenant.window_at(now_ms)
             if window != tenant.quota.window:
-                self._usage_reporter.forget_calls(tenant)
+                self._usage_reporter.ignore_replies(tenant)
                 self._decide_waiting(tenant, now_ms)
                 self._usage_reporter.start_window(tenant, window, started_at_ms)
         tenant.quota.record_gateway_count(self._tenants.gateway_count(request))
--- a/api_gateway/decisions/tenants.py
+++ b/api_gateway/decisions/tenants.py
@@ -15,8 +15,8 @@
 from api_gateway.model.settings import Plan, Settings
 
 MAX_TENANTS = 8192  # Limits the memory that requests with many different tenant names can take.
-FORGET_AFTER_WINDOWS = 3.0  # A tenant may be forgotten after this many windows without a request.
-MAX_TENANTS_EXAMINED = 64  # Limits the time of one search for tenants to forget.
+EVICT_AFTER_WINDOWS = 3.0  # A tenant may be evicted after this many windows without a request.
+MAX_TENANTS_EXAMINED = 64  # Limits the time of one search for tenants to evict.
 HASH_BYTES = 8
 
 
@@ -71,8 +71,8 @@
         limit = self.plan.max_concurrent_requests
         return bool(limit) and self.in_flight >= max(1, limit // self.quota.gateway_count)
 
-    def may_be_forgotten(self, now_ms: float) -> bool:
-        """Return whether the tenant can be forgotten without a change in what it is allowed.
+    def is_evictable(self, now_ms: float) -> bool:
+        """Return whether the tenant can be evicted without a change in what it is allowed.
 
         A new ceiling share starts empty, so that the current one must be full.
         """
@@ -80,10 +80,10 @@
         return is_unused and self.ceiling.is_full_after(now_ms - self.last_request_at_ms)
 
     def is_idle(self, now_ms: float) -> bool:
-        """Return whether the tenant has sent no request for several windows and may be forgotten."""
+        """Return whether the tenant has sent no request for several windows and may be evicted."""
         idle_period_ms = self._window_length_ms or RATE_TIME_CONSTANT_MS
-        has_no_recent_request = now_ms - self.last_request_at_ms >= FORGET_AFTER_WINDOWS * idle_period_ms
-        return has_no_recent_request and self.may_be_forgotten(now_ms)
+        has_no_recent_request = now_ms - self.last_request_at_ms >= EVICT_AFTER_WINDOWS * idle_period_ms
+        return has_no_recent_request and self.is_evictable(now_ms)
 
 
 class TenantTable:
@@ -93,7 +93,7 @@
         settings: Settings of the gateway.
         uptime: Time since the gateway started.
         conditions: Conditions that the quota estimates depend on.
-        on_forget: Called with each tenant that is forgotten.
+        on_evict: Called with each tenant that is evicted.
     """
 
     def __init__(
@@ -101,12 +101,12 @@
         settings: Settings,
         uptime: Uptime,
         conditions: QuotaConditions,
-        on_forget: Callable[[Tenant], None],
+        on_evict: Callable[[Tenant], None],
     ) -> None:
         self._fleet_size = settings.fleet_size
         self._uptime = uptime
         self._conditions = conditions
-        self._on_forget = on_forget
+        self._on_evict = on_evict
         self._tenants: dict[tuple[str, str], Tenant] = {}
         self._count_name_tags = count_name_tags(settings.plans)
 
@@ -131,7 +131,7 @@
         return list(self._tenants.values())
 
     def clear(self) -> None:
-        """Remove all tenants without calling `on_forget`."""
+        """Remove all tenants without calling `on_evict`."""
         self._tenants.clear()
 
     def gateway_count(self, request: RequestReceived) -> int:
@@ -143,7 +143,7 @@
         key = (request.tenant, plan.name)
         tenant = self._tenants.pop(key, None)
         if tenant is None:
-            if len(self._tenants) >= MAX_TENANTS and not self._forget_one(now_ms):
+            if len(self._tenants) >= MAX_TENANTS and not self._evict_one(now_ms):
                 return None
             tenant = self._create(key, plan, self.gateway_count(request), now_ms)
         self._tenants[key] = tenant
@@ -169,23 +169,23 @@
             window_phase=int.from_bytes(name_hash.digest()[:2], "big") / 65536,
         )
 
-    def _forget_one(self, now_ms: float) -> bool:
-        """Forget the least recently used tenant that may be forgotten, and return whether there was one."""
+    def _evict_one(self, now_ms: float) -> bool:
+        """Evict the least recently used tenant that may be evicted, and return whether there was one."""
         examined = islice(self._tenants.values(), MAX_TENANTS_EXAMINED)
-        tenant = next((tenant for tenant in examined if tenant.may_be_forgotten(now_ms)), None)
+        tenant = next((tenant for tenant in examined if tenant.is_evictable(now_ms)), None)
         if tenant is not None:
-            self._forget(tenant)
+            self._evict(tenant)
         return tenant is not None
 
-    def forget_idle(self, now_ms: float) -> None:
-        """Forget the idle ones among the least recently used tenants."""
+    def evict_idle(self, now_ms: float) -> None:
+        """Evict the idle ones among the least recently used tenants."""
         for tenant in list(islice(self._tenants.values(), MAX_TENANTS_EXAMINED)):
             if tenant.is_idle(now_ms):
-                self._forget(tenant)
+                self._evict(tenant)
 
-    def _forget(self, tenant: Tenant) -> None:
+    def _evict(self, tenant: Tenant) -> None:
         del self._tenants[tenant.key]
-        self._on_forget(tenant)
+        self._on_evict(tenant)
 
 
 def count_name_tags(plans: Iterable[Plan]) -> dict[str, str]:
--- a/api_gateway/decisions/usage_reporting.py
+++ b/api_gateway/decisions/usage_reporting.py
@@ -197,7 +197,7 @@
         tenant.quota.start_window(window, started_at_ms, unreported_usage)
         tenant.report.start_window(window)
 
-    def forget_calls(self, tenant: Tenant) -> None:
+    def ignore_replies(self, tenant: Tenant) -> None:
         """Ignore further replies to the calls of a tenant's current and last window."""
         self._tenants_by_count.pop(tenant.report.count_name, None)
         self._tenants_by_count.pop(tenant.report.previous_count_name, None)
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -1,4 +1,4 @@
-"""How many tenants are kept, and when they are forgotten."""
+"""How many tenants are kept, and when they are evicted."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from api_gateway.model.results import CounterResult
 
 
-def test_tenants_with_a_single_request_are_forgotten() -> None:
+def test_tenants_with_a_single_request_are_evicted() -> None:
     """Tenants that never come back must not stay in memory, even if their counter calls timed out."""
     driver = GatewayDriver()
     for i in range(300):
