--- a/api_gateway/network/upstream/pool.py
+++ b/api_gateway/network/upstream/pool.py
@@ -142,7 +142,7 @@
         )
         connection = endpoint.pop_reusable_connection(self._loop.time() - MIN_IDLE_BEFORE_REUSE_S)
         if connection is not None:
-            self._send_on(connection, attempt)
+            self._send_with_write_deadline(connection, attempt)
         else:
             self._connect(endpoint, attempt)
 
@@ -156,7 +156,8 @@
         if not attempt.is_done and attempt.has_unsent_bytes():
             self._abort(attempt, AttemptResult.WITHDRAWN)
 
-    def _send_on(self, connection: UpstreamConnection, attempt: Attempt) -> None:
+    def _send_with_write_deadline(self, connection: UpstreamConnection, attempt: Attempt) -> None:
+        """Send an attempt on a connection, and withdraw it if it has unsent bytes at its write deadline."""
         connection.send(attempt)
         if connection.has_unsent_data:
             self._start_write_timer(attempt)
@@ -247,7 +248,7 @@
         elif connection.transport.is_closing():  # closed between the connect and this callback
             self._end(attempt, AttemptResult.NOT_SENT)
         else:
-            self._send_on(connection, attempt)
+            self._send_with_write_deadline(connection, attempt)
 
     def _may_still_be_sent(self, attempt: Attempt, endpoint: UpstreamEndpoint) -> bool:
         """Return whether an attempt may be sent on the connection established for it.
