--- a/api_gateway/network/dispatcher.py
+++ b/api_gateway/network/dispatcher.py
@@ -153,10 +153,10 @@
             or time.monotonic() - self._started_at > INITIAL_ENDPOINT_LIST_TIMEOUT_S
         )
 
-    def fail_pending_requests(self) -> None:
+    def fail_open_requests(self) -> None:
         """Respond to all open requests with 504 and accept no new ones, as the process is about to exit."""
         self.is_terminated = True
-        self._request_handler.fail_all()
+        self._request_handler.fail_open_requests()
 
     # --- Requests -----------------------------------------------------------------------------------------
 
--- a/api_gateway/network/request_handler.py
+++ b/api_gateway/network/request_handler.py
@@ -133,7 +133,7 @@
         client.respond(status, retry_after_ms=retry_after_ms)
         self._withdraw_unsent_attempts(request)
 
-    def fail_all(self) -> None:
+    def fail_open_requests(self) -> None:
         """Respond to all open requests with 504."""
         for request in self.requests:
             self._respond_with_timeout(request)
--- a/api_gateway/shutdown.py
+++ b/api_gateway/shutdown.py
@@ -52,7 +52,7 @@
         lifecycle_log.info("draining timeout_s=%.1f", self._drain_timeout_s)
         self._dispatcher.is_draining = True
         self._loop.call_later(ACCEPT_AFTER_SIGNAL_S, self._close_connections)
-        self._loop.call_later(self._drain_timeout_s, self._fail_pending_requests)
+        self._loop.call_later(self._drain_timeout_s, self._fail_open_requests)
 
     def _close_connections(self) -> None:
         if self._listener.stop_accepting() and self._listener.close_idle():
@@ -60,8 +60,8 @@
         else:
             self._loop.call_later(CHECK_INTERVAL_S, self._close_connections)
 
-    def _fail_pending_requests(self) -> None:
-        self._dispatcher.fail_pending_requests()
+    def _fail_open_requests(self) -> None:
+        self._dispatcher.fail_open_requests()
         self._loop.call_later(FLUSH_DELAY_S, self.finished.set)
 
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -31,7 +31,7 @@
 
 
 class FakeDispatcher:
-    """A dispatcher that records when it is told to fail its pending requests."""
+    """A dispatcher that records when it is told to fail its open requests."""
 
     def __init__(self, loop: FakeLoop, deadline_ms: float) -> None:
         self.settings = settings(classes=(dataclasses.replace(READ_CLASS, deadline_ms=deadline_ms),))
@@ -39,7 +39,7 @@
         self.failed_at: list[float] = []
         self._loop = loop
 
-    def fail_pending_requests(self) -> None:
+    def fail_open_requests(self) -> None:
         self.failed_at.append(self._loop.now)
 
 
