--- a/api_gateway/decisions/attempt_flow.py
+++ b/api_gateway/decisions/attempt_flow.py
@@ -66,12 +66,12 @@
         self._outlier_detector = outlier_detector
         self._retry_policy = retry_policy
         self._load_sampler = load_sampler
-        self._class_latencies = admission.occupancy.classes
+        self._class_latencies = admission.occupancy.class_latencies
         self._usage_reporter = usage_reporter
         self._traffic = traffic
         self._latency = latency
 
-    def start(self, pending: PendingRequest, endpoint: EndpointState, now_ms: float) -> None:
+    def start_attempt(self, pending: PendingRequest, endpoint: EndpointState, now_ms: float) -> None:
         """Start an attempt of a request, sent to an endpoint."""
         action = self._retry_policy.attempt_action(pending, endpoint, now_ms)
         latency_block = self._class_latencies[pending.class_name].start_attempt(now_ms)
@@ -95,9 +95,9 @@
         if event.result is AttemptResult.OK:
             self._charge_actual_units(pending, event.actual_units, now_ms)
         if event.is_final or event.result is AttemptResult.OK or pending.is_finished:
-            self.finish(pending)
+            self.finish_request(pending)
         elif not pending.has_attempt_in_flight() and not self._retry(pending, event, now_ms):
-            self._give_up(pending)
+            self._reject_or_fail(pending)
 
     def _record_endpoint_result(
         self, pending: PendingRequest, endpoint: EndpointState, event: AttemptEnded, now_ms: float
@@ -107,7 +107,7 @@
         objective_ms = pending.request_class.latency_objective_ms
         self._outlier_detector.record_result(endpoint, event, expected_latency_ms, objective_ms, now_ms)
         if event.result is AttemptResult.OK:
-            self._latency.record(class_name, event.duration_ms, event.actual_units or units)
+            self._latency.record_response(class_name, event.duration_ms, event.actual_units or units)
             self._traffic.record_completion()
 
     def _charge_actual_units(self, pending: PendingRequest, actual_units: float, now_ms: float) -> None:
@@ -134,7 +134,7 @@
         if endpoint is None:
             return False
         self._retry_policy.budget.spend(cost)
-        self.start(pending, endpoint, now_ms)
+        self.start_attempt(pending, endpoint, now_ms)
         return True
 
     def mark_streaming(self, event: ResponseStarted) -> None:
@@ -143,7 +143,7 @@
         if pending is not None:
             pending.is_streaming = True
 
-    def finish(self, pending: PendingRequest) -> None:
+    def finish_request(self, pending: PendingRequest) -> None:
         """Stop attempting a request, and cancel its attempts in flight; it stays pending until they end."""
         in_flight = [i for i, attempt in enumerate(pending.attempts) if attempt.is_in_flight]
         if self._is_cancellation_supported and not pending.is_streaming and not pending.is_finished:
@@ -152,10 +152,10 @@
         if not in_flight and self._pending_requests.remove(pending):
             pending.tenant.in_flight -= 1
 
-    def _give_up(self, pending: PendingRequest) -> None:
+    def _reject_or_fail(self, pending: PendingRequest) -> None:
         """Reject a request that cannot be served, or fail it if it may have run."""
         if pending.may_have_run():
             self._actions.append(FailRequest(pending.request_id))
         else:
             self._rejections.reject(pending.request_id, RejectReason.ATTEMPTS_EXHAUSTED)
-        self.finish(pending)
+        self.finish_request(pending)
--- a/api_gateway/decisions/gateway.py
+++ b/api_gateway/decisions/gateway.py
@@ -241,7 +241,7 @@
         self.load_sampler.update_admission(now_ms)
         self.traffic.sweep_attempts(elapsed_ms, age_ms)
         self.subset_sizer.sweep(len(self.endpoints.ring), self._is_overloaded())
-        self.request_flow.decide_overdue(now_ms)
+        self.request_flow.decide_on_overdue_requests(now_ms)
         self.tenants.evict_idle(now_ms)
         self._actions.append(self.sweep_timer.restart(now_ms))
 
--- a/api_gateway/decisions/latency.py
+++ b/api_gateway/decisions/latency.py
@@ -13,7 +13,7 @@
 MIN_UNITS = 1e-6
 
 SAMPLED_REQUESTS = 64  # The timeout of a class's clients is estimated from this many of its last requests.
-RECOUNT_INTERVAL_REQUESTS = SAMPLED_REQUESTS // 8  # Sorting for each request would cost too much time.
+UPDATE_INTERVAL_REQUESTS = SAMPLED_REQUESTS // 8  # Sorting for each request would cost too much time.
 TYPICAL_PERCENTILE = 70  # All remaining times are compared with this percentile of them.
 SAME_TIME_TOLERANCE = 0.01  # Remaining times that differ by at most this fraction count as equal.
 
@@ -41,7 +41,7 @@
         """Return the typical latency of the slowest class for one unit, in milliseconds."""
         return max(self._per_unit_ms.values())
 
-    def record(self, class_name: str, duration_ms: float, units: float) -> None:
+    def record_response(self, class_name: str, duration_ms: float, units: float) -> None:
         """Update the mean of a class with a response; the initial value has the weight of one response.
 
         Args:
@@ -64,7 +64,7 @@
 
     def __init__(self) -> None:
         self._remaining_times_ms: deque[float] = deque(maxlen=SAMPLED_REQUESTS)
-        self._requests_since_recount = 0
+        self._requests_since_update = 0
         self._min_full_timeout_ms = 0.0
 
     def record_request(self, remaining_time_ms: float) -> float:
@@ -78,13 +78,13 @@
             last requests have the same remaining time.
         """
         self._remaining_times_ms.append(remaining_time_ms)
-        self._requests_since_recount += 1
-        if self._requests_since_recount >= RECOUNT_INTERVAL_REQUESTS:
-            self._requests_since_recount = 0
-            self._recount()
+        self._requests_since_update += 1
+        if self._requests_since_update >= UPDATE_INTERVAL_REQUESTS:
+            self._requests_since_update = 0
+            self._update_estimate()
         return self._min_full_timeout_ms
 
-    def _recount(self) -> None:
+    def _update_estimate(self) -> None:
         count = len(self._remaining_times_ms)
         typical_ms = sorted(self._remaining_times_ms)[count * TYPICAL_PERCENTILE // 100]
         agreeing_count = sum(
@@ -108,7 +108,7 @@
     def __init__(self, classes: Iterable[RequestClass]) -> None:
         self._client_timeouts = {c.name: ClientTimeoutEstimator() for c in classes}
 
-    def spent_ms(self, request: RequestReceived, request_class: RequestClass) -> float:
+    def record_request(self, request: RequestReceived, request_class: RequestClass) -> float:
         """Record a request, and return the time spent before it in milliseconds; 0 if that is unknown."""
         min_full_timeout_ms = self._client_timeouts[request_class.name].record_request(
             request.remaining_time_ms
--- a/api_gateway/decisions/load_sampling.py
+++ b/api_gateway/decisions/load_sampling.py
@@ -86,7 +86,7 @@
         """
         occupancy = self._admission.occupancy
         latency = self._record_sample(pending, attempt, event, now_ms)
-        occupancy.classes[pending.class_name].end_attempt(attempt.latency_block, latency, now_ms)
+        occupancy.class_latencies[pending.class_name].end_attempt(attempt.latency_block, latency, now_ms)
         if occupancy.pending_samples >= MAX_SAMPLES_PER_UPDATE:
             self.update_admission(now_ms)
 
@@ -109,7 +109,7 @@
             return latency
         if event.result is AttemptResult.TIMED_OUT:
             is_overload = occupancy.record_timeout(class_name)
-            if is_overload and occupancy.classes[class_name].may_miss_objective_when_idle:
+            if is_overload and occupancy.class_latencies[class_name].may_miss_objective_when_idle:
                 self._traffic.record_completion()
             return 1.0 if is_overload else None
         occupancy.record_overload()
--- a/api_gateway/decisions/occupancy.py
+++ b/api_gateway/decisions/occupancy.py
@@ -182,7 +182,7 @@
         classes: The request classes.
 
     Attributes:
-        classes: Latencies of each request class, by name.
+        class_latencies: Latencies of each request class, by name.
         smoothed: The smoothed occupancy, 0 to 1 (q of SiRED).
         sample_count: Samples since the start.
         pending_samples: Samples since the last update.
@@ -192,7 +192,7 @@
     """
 
     def __init__(self, classes: Iterable[RequestClass]) -> None:
-        self.classes = {c.name: ClassLatency(c.latency_objective_ms) for c in classes}
+        self.class_latencies = {c.name: ClassLatency(c.latency_objective_ms) for c in classes}
         self.smoothed = 0.0
         self.sample_count = 0
         self.pending_samples = 0
@@ -222,7 +222,7 @@
             delay_noise_ms: Random variation of the predicted delay, in milliseconds.
             confidence: How reliable the prediction is, 0 to 1.
         """
-        class_latency = self.classes[class_name]
+        class_latency = self.class_latencies[class_name]
         baseline = class_latency.baseline
         excess = class_latency.baseline_excess
         self.baseline_ms += (
@@ -256,7 +256,7 @@
         Returns:
             Whether the timeout counts as overload.
         """
-        class_latency = self.classes[class_name]
+        class_latency = self.class_latencies[class_name]
         if (
             not class_latency.may_miss_objective_when_idle
             and self.recent_response_occupancy < MIN_SHED_OCCUPANCY
--- a/api_gateway/decisions/request_flow.py
+++ b/api_gateway/decisions/request_flow.py
@@ -126,7 +126,7 @@
         if not has_time_for_counter_call or not self._usage_reporter.needs_counter_value(
             tenant, request.units, now_ms
         ):
-            self._decide(pending, now_ms, is_admitted=False)
+            self._forward_or_reject(pending, now_ms, is_admitted=False)
         elif self._is_admitted(pending):
             self._usage_reporter.wait_for_counter_value(pending, now_ms)
         else:
@@ -138,7 +138,7 @@
         """Return when a response loses all weight: at the deadline if late responses have a weight."""
         if request_class.late_priority_weight > 0:
             return deadline_at_ms
-        spent_ms = self._earlier_request_time.spent_ms(request, request_class)
+        spent_ms = self._earlier_request_time.record_request(request, request_class)
         return min(now_ms + request_class.latency_objective_ms - spent_ms, deadline_at_ms)
 
     def _find_tenant(self, request: RequestReceived, plan: Plan, now_ms: float) -> Tenant | None:
@@ -150,14 +150,14 @@
             window, started_at_ms = tenant.window_at(now_ms)
             if window != tenant.quota.window:
                 self._usage_reporter.ignore_replies(tenant)
-                self._decide_waiting(tenant, now_ms)
+                self._decide_on_waiting_requests(tenant, now_ms)
                 self._usage_reporter.start_window(tenant, window, started_at_ms)
         tenant.quota.record_gateway_count(self._tenants.gateway_count(request))
         return tenant
 
     # Decision
 
-    def _decide(self, pending: PendingRequest, now_ms: float, *, is_admitted: bool) -> None:
+    def _forward_or_reject(self, pending: PendingRequest, now_ms: float, *, is_admitted: bool) -> None:
         """Forward or reject a request.
 
         Args:
@@ -226,7 +226,7 @@
         if not is_over_quota:
             tenant.quota.spend(pending.units)
         self._usage_reporter.report(tenant, now_ms)
-        self._attempt_flow.start(pending, endpoint, now_ms)
+        self._attempt_flow.start_attempt(pending, endpoint, now_ms)
         return None
 
     def record_counter_reply(self, reply: CounterReply, now_ms: float) -> None:
@@ -234,25 +234,25 @@
         tenant = self._usage_reporter.record_reply(reply, now_ms)
         if tenant is None:
             return
-        self._decide_waiting(tenant, now_ms)
+        self._decide_on_waiting_requests(tenant, now_ms)
         if reply.result is CounterResult.OK:
             self._usage_reporter.report(tenant, now_ms)
 
-    def decide_overdue(self, now_ms: float) -> None:
+    def decide_on_overdue_requests(self, now_ms: float) -> None:
         """Decide on the requests that have waited too long for a counter reply."""
         for tenant in self._usage_reporter.abandon_overdue_calls(self._reply_timeout_ms, now_ms):
-            self._decide_waiting(tenant, now_ms)
+            self._decide_on_waiting_requests(tenant, now_ms)
 
-    def _decide_waiting(self, tenant: Tenant, now_ms: float) -> None:
+    def _decide_on_waiting_requests(self, tenant: Tenant, now_ms: float) -> None:
         for pending in self._usage_reporter.take_waiting_requests(tenant):
-            self._decide(pending, now_ms, is_admitted=True)
+            self._forward_or_reject(pending, now_ms, is_admitted=True)
 
     def record_client_disconnect(self, event: ClientDisconnected) -> None:
         """Finish a request whose client has disconnected."""
         self._usage_reporter.stop_waiting(event.request_id)
         pending = self._pending_requests.get(event.request_id)
         if pending is not None:
-            self._attempt_flow.finish(pending)
+            self._attempt_flow.finish_request(pending)
 
     def _reject_without_attempt(
         self, pending: PendingRequest, reason: RejectReason, *, is_over_quota: bool
--- a/api_gateway/decisions/selection.py
+++ b/api_gateway/decisions/selection.py
@@ -75,7 +75,7 @@
         if endpoint is None and subset.ejected:
             endpoint = self._select_for_probe(pending, tried_endpoints, now_ms)
         if endpoint is None:
-            endpoint = self._select_least_loaded(pending, tried_endpoints, subset.candidates(), now_ms)
+            endpoint = self._select_least_loaded(pending, tried_endpoints, subset.warm_candidates(), now_ms)
         if endpoint is None and tried_endpoints:
             endpoint = self._select_least_loaded(
                 pending,
--- a/api_gateway/decisions/subset.py
+++ b/api_gateway/decisions/subset.py
@@ -124,7 +124,7 @@
         pretended_at_ms = now_ms - self._rng.random() * self.visit_interval_ms
         endpoint.last_attempt_at_ms = max(endpoint.last_attempt_at_ms, pretended_at_ms)
 
-    def candidates(self) -> list[EndpointState]:
+    def warm_candidates(self) -> list[EndpointState]:
         """Return the warm endpoints to compare for one request, in rotation if there are many."""
         if len(self.warm) <= MAX_CANDIDATES:
             return self.warm
--- a/api_gateway/network/counter.py
+++ b/api_gateway/network/counter.py
@@ -78,20 +78,22 @@
         self._assign(call)
 
     def _create_connections(self, address: Address) -> list[CounterConnection]:
-        return [CounterConnection(self._loop, address, self._report) for _ in range(self._connection_count)]
+        return [
+            CounterConnection(self._loop, address, self._report_result) for _ in range(self._connection_count)
+        ]
 
     def _assign(self, call: CounterCall) -> None:
         usable = [connection for connection in self._connections if connection.is_usable()]
         if usable:
             min(usable, key=self._connection_load).submit(call)
         else:
-            self._report(call, CounterResult.CONNECT_FAILED)
+            self._report_result(call, CounterResult.CONNECT_FAILED)
 
     def _connection_load(self, connection: CounterConnection) -> int:
         """Return the number of calls in flight, plus a penalty if the connection is not established."""
         return connection.calls_in_flight + (0 if connection.is_connected else self._connection_count)
 
-    def _report(self, call: CounterCall, result: CounterResult, counter_value: float = 0.0) -> None:
+    def _report_result(self, call: CounterCall, result: CounterResult, counter_value: float = 0.0) -> None:
         if call.is_done:
             return
         call.is_done = True
@@ -108,7 +110,9 @@
         if call.is_written and self._is_single_connection_failure(call):
             call.connection.close_and_replace()
             return
-        self._report(call, CounterResult.TIMED_OUT if call.is_written else CounterResult.CONNECT_FAILED)
+        self._report_result(
+            call, CounterResult.TIMED_OUT if call.is_written else CounterResult.CONNECT_FAILED
+        )
 
     def _is_single_connection_failure(self, call: CounterCall) -> bool:
         """Return whether the connection of a late call is silent while the counter responds on others.
--- a/api_gateway/network/downstream/connection.py
+++ b/api_gateway/network/downstream/connection.py
@@ -195,16 +195,16 @@
             self._queue[-1].keep_alive = False
         except httptools.HttpParserError as error:
             cause = error.__context__
-            self._reject(
+            self._queue_error(
                 cause if isinstance(cause, BadRequestError) else BadRequestError("input is not valid HTTP")
             )
         else:
             # Limits input that the parser consumes without a callback, such as an endless header line.
             is_reading_head = self._partial_request is not None and not self._partial_request.method
             if self._received_bytes > (MAX_HEADER_BYTES if is_reading_head else MAX_REQUEST_WIRE_BYTES):
-                self._reject(BadRequestError("request has too many bytes on the wire"))
+                self._queue_error(BadRequestError("request has too many bytes on the wire"))
 
-    def _reject(self, error: BadRequestError) -> None:
+    def _queue_error(self, error: BadRequestError) -> None:
         """Queue an error behind the requests that precede it, and discard all further input."""
         if not self._is_discarding_input:
             self._is_discarding_input = True
@@ -339,7 +339,7 @@
             if waited_s > LINGER_TIMEOUT_S:
                 self.transport.abort()
         elif self._partial_request is not None and waited_s > REQUEST_READ_TIMEOUT_S:
-            self._reject(BadRequestError("request was not complete within its timeout", 408))
+            self._queue_error(BadRequestError("request was not complete within its timeout", 408))
             self._serve_queue()
         elif waited_s > self._idle_timeout_s() and self.is_idle():
             self.transport.close()
--- a/api_gateway/network/downstream/request_parsing.py
+++ b/api_gateway/network/downstream/request_parsing.py
@@ -207,7 +207,7 @@
             gateway_count=quota_info.gateway_count,
             first_gateway=quota_info.first_gateway,
             is_retry=headers.get(RETRY_HEADER) == b"1",
-            read_at=request.received_at_s,
+            received_at_s=request.received_at_s,
             head=_serialize_upstream_head(request, request_class),
             body=b"".join(request.body),
         )
--- a/api_gateway/network/open_requests.py
+++ b/api_gateway/network/open_requests.py
@@ -47,7 +47,7 @@
         gateway_count: Number of gateways that receive the requests of its tenant.
         first_gateway: Index of the first of these gateways.
         is_retry: Whether it is a retry by the client.
-        read_at: When its last byte was read, in s of `time.monotonic`.
+        received_at_s: When its last byte was read, in s of `time.monotonic`.
         head: Request line and headers for the endpoint, without `X-Deadline` and the empty line.
         body: The body.
     """
@@ -61,7 +61,7 @@
     gateway_count: int
     first_gateway: int
     is_retry: bool
-    read_at: float
+    received_at_s: float
     head: bytes
     body: bytes
 
--- a/api_gateway/network/request_handler.py
+++ b/api_gateway/network/request_handler.py
@@ -88,7 +88,7 @@
             return None
         # The deadline counts from when the client sent the request, not from when this process handles it.
         now = time.monotonic()
-        queued_ms = (now - inbound.read_at) * 1000
+        queued_ms = (now - inbound.received_at_s) * 1000
         remaining_time_ms = (
             inbound.remaining_time_ms - CLIENT_ROUND_TRIP_MS - self._lag.lag_ms(now) - queued_ms
         )
@@ -114,7 +114,7 @@
         """Close a request whose client has disconnected, and withdraw its attempts with unsent bytes."""
         request = self.requests.get(request_id)
         if request is not None and request.client is not None:
-            self._close(request)
+            self._close_request(request)
             self._post_event(ClientDisconnected(request_id))
             self._withdraw_unsent_attempts(request)
 
@@ -129,7 +129,7 @@
         request = self.requests.get(request_id)
         if request is None or request.client is None:
             return
-        client = self._close(request)
+        client = self._close_request(request)
         client.respond(status, retry_after_ms=retry_after_ms)
         self._withdraw_unsent_attempts(request)
 
@@ -142,7 +142,7 @@
         """Forward an endpoint's response, unless the request already has a response."""
         if request.client is None:
             return
-        client = self._close(request)
+        client = self._close_request(request)
         client.respond(200, response.body, response.headers.get(b"content-type", b""))
         self._withdraw_unsent_attempts(request)
 
@@ -174,7 +174,7 @@
             self.respond(request.request_id, 504)
             self._post_event(ClientDisconnected(request.request_id))
 
-    def _close(self, request: OpenRequest) -> Client:
+    def _close_request(self, request: OpenRequest) -> Client:
         """Detach the client from its request and return it, and cancel the deadline timer."""
         client, request.client = request.client, None
         request.deadline_timer.cancel()
@@ -199,7 +199,7 @@
         if is_abandoned or remaining_s <= 0 or number >= self._settings.max_attempts:
             if request is not None:
                 request.attempts.append(None)
-            self._post_not_started(action, number, is_final=is_abandoned)
+            self._post_attempt_not_started(action, number, is_final=is_abandoned)
             return
         timeout_s = min(action.timeout_ms / 1000, remaining_s) if action.timeout_ms else remaining_s
         now = time.monotonic()
@@ -225,7 +225,7 @@
             if attempt is not None:
                 self.pool.cancel(attempt)
 
-    def _post_not_started(self, action: StartAttempt, number: int, *, is_final: bool) -> None:
+    def _post_attempt_not_started(self, action: StartAttempt, number: int, *, is_final: bool) -> None:
         self._post_event(
             AttemptEnded(
                 request_id=action.request_id,
--- a/api_gateway/network/upstream/pool.py
+++ b/api_gateway/network/upstream/pool.py
@@ -111,7 +111,7 @@
         """
         for attempt, endpoint in list(self._pending_connects.items()):
             if not self._accepts_new_requests(endpoint):
-                self._abort(attempt, AttemptResult.WITHDRAWN)
+                self._abort_attempt(attempt, AttemptResult.WITHDRAWN)
 
     def endpoint_names(self) -> set[str]:
         """Return the names of all listed endpoints, draining ones included."""
@@ -131,11 +131,11 @@
         """Send an attempt on an idle connection, or on a new one."""
         endpoint = self._endpoints.get(attempt.endpoint_name)
         if endpoint is None:
-            self._end(attempt, AttemptResult.CONNECT_FAILED)
+            self._end_attempt(attempt, AttemptResult.CONNECT_FAILED)
             return
         now = time.monotonic()
         if not self._accepts_new_requests(endpoint) or now > attempt.write_deadline:
-            self._end(attempt, AttemptResult.WITHDRAWN)
+            self._end_attempt(attempt, AttemptResult.WITHDRAWN)
             return
         attempt.response_timer = self._loop.call_later(
             max(attempt.deadline - now, 0.0), self._deadline_reached, attempt
@@ -149,12 +149,12 @@
     def cancel(self, attempt: Attempt) -> None:
         """Cancel an attempt by closing its connection."""
         if not attempt.is_done:
-            self._abort(attempt, AttemptResult.CANCELLED)
+            self._abort_attempt(attempt, AttemptResult.CANCELLED)
 
     def withdraw(self, attempt: Attempt) -> None:
         """End an attempt that has unsent bytes, so that it cannot have run; do nothing with any other."""
         if not attempt.is_done and attempt.has_unsent_bytes():
-            self._abort(attempt, AttemptResult.WITHDRAWN)
+            self._abort_attempt(attempt, AttemptResult.WITHDRAWN)
 
     def _send_with_write_deadline(self, connection: UpstreamConnection, attempt: Attempt) -> None:
         """Send an attempt on a connection, and withdraw it if it has unsent bytes at its write deadline."""
@@ -179,13 +179,13 @@
             result = AttemptResult.NOT_SENT
         else:
             result = AttemptResult.TIMED_OUT
-        self._abort(attempt, result)
+        self._abort_attempt(attempt, result)
 
-    def _abort(self, attempt: Attempt, result: AttemptResult) -> None:
+    def _abort_attempt(self, attempt: Attempt, result: AttemptResult) -> None:
         attempt.abort()
-        self._end(attempt, result)
+        self._end_attempt(attempt, result)
 
-    def _end(self, attempt: Attempt, result: AttemptResult, response: Response | None = None) -> None:
+    def _end_attempt(self, attempt: Attempt, result: AttemptResult, response: Response | None = None) -> None:
         """Report the result of an attempt, unless one has been reported."""
         if attempt.is_done:
             return
@@ -198,13 +198,13 @@
 
     def _connect(self, endpoint: UpstreamEndpoint, attempt: Attempt) -> None:
         if len(self._pending_connects) >= MAX_PENDING_CONNECTS or not self._ensure_connection_slot():
-            self._end(attempt, AttemptResult.LOCAL_LIMIT)
+            self._end_attempt(attempt, AttemptResult.LOCAL_LIMIT)
             return
         self._pending_connects[attempt] = endpoint
         attempt.connect_task = self._loop.create_task(
             self._loop.create_connection(lambda: UpstreamConnection(self, endpoint), *endpoint.address)
         )
-        attempt.connect_task.add_done_callback(partial(self._connect_ended, attempt))
+        attempt.connect_task.add_done_callback(partial(self._on_connect_done, attempt))
         attempt.connect_timer = self._loop.call_later(
             self._connect_timeout_s, self._connect_deadline_reached, attempt
         )
@@ -225,28 +225,28 @@
             ).idle_connections.pop(0).abort()
         return bool(endpoints_with_idle)
 
-    def _connect_ended(self, attempt: Attempt, task: asyncio.Task) -> None:
+    def _on_connect_done(self, attempt: Attempt, task: asyncio.Task) -> None:
         endpoint = self._pending_connects.pop(attempt)
         attempt.connect_task = None
         attempt.connect_timer.cancel()
         error = None if task.cancelled() else task.exception()
         if task.cancelled() or (error is not None and not isinstance(error, ConnectionResetError)):
-            self._end(attempt, AttemptResult.CONNECT_FAILED)
+            self._end_attempt(attempt, AttemptResult.CONNECT_FAILED)
         elif error is not None:
-            self._end(attempt, AttemptResult.NOT_SENT)
+            self._end_attempt(attempt, AttemptResult.NOT_SENT)
         else:
-            self._connected(attempt, endpoint, task.result()[1])
+            self._send_on_new_connection(attempt, endpoint, task.result()[1])
 
-    def _connected(
+    def _send_on_new_connection(
         self, attempt: Attempt, endpoint: UpstreamEndpoint, connection: UpstreamConnection
     ) -> None:
         if attempt.is_done or self._is_stopped:
             connection.abort()
         elif not self._may_still_be_sent(attempt, endpoint):
             connection.abort()
-            self._end(attempt, AttemptResult.WITHDRAWN)
+            self._end_attempt(attempt, AttemptResult.WITHDRAWN)
         elif connection.transport.is_closing():  # closed between the connect and this callback
-            self._end(attempt, AttemptResult.NOT_SENT)
+            self._end_attempt(attempt, AttemptResult.NOT_SENT)
         else:
             self._send_with_write_deadline(connection, attempt)
 
@@ -266,7 +266,7 @@
 
     def _connect_timed_out(self, attempt: Attempt) -> None:
         if attempt.connect_task is not None:
-            self._abort(attempt, AttemptResult.CONNECT_FAILED)
+            self._abort_attempt(attempt, AttemptResult.CONNECT_FAILED)
 
     # --- Connections --------------------------------------------------------------------------------------
 
@@ -284,29 +284,29 @@
         if attempt is None:
             return
         if connection.has_unsent_data:
-            self._end(attempt, AttemptResult.NOT_SENT)
+            self._end_attempt(attempt, AttemptResult.NOT_SENT)
         elif connection.is_reused and not connection.response_started():
             # The most recently used connection was closed without notice, so the other idle ones, which have
             # been unused for longer, are regarded as stale, too.
             endpoint.close_idle_connections()
-            self._end(attempt, AttemptResult.STALE_CONNECTION)
+            self._end_attempt(attempt, AttemptResult.STALE_CONNECTION)
         else:
-            self._end(attempt, AttemptResult.CONNECTION_RESET)
+            self._end_attempt(attempt, AttemptResult.CONNECTION_RESET)
 
     def response_received(
         self, connection: UpstreamConnection, attempt: Attempt, response: Response, is_reusable: bool
     ) -> None:
         """Release a connection, and end its attempt with a complete response."""
-        self._release(connection, is_reusable)
-        self._end(attempt, result_of_response(response), response)
+        self._release_connection(connection, is_reusable)
+        self._end_attempt(attempt, result_of_response(response), response)
 
     def malformed_response(self, connection: UpstreamConnection) -> None:
         """End the attempt on a connection with a malformed response; the endpoint may have run it."""
         attempt, connection.attempt = connection.attempt, None
         if attempt is not None:
-            self._end(attempt, AttemptResult.MALFORMED_RESPONSE)
+            self._end_attempt(attempt, AttemptResult.MALFORMED_RESPONSE)
 
-    def _release(self, connection: UpstreamConnection, is_reusable: bool) -> None:
+    def _release_connection(self, connection: UpstreamConnection, is_reusable: bool) -> None:
         endpoint = connection.endpoint
         if is_reusable and not connection.has_unsent_data and self._endpoints.get(endpoint.name) is endpoint:
             connection.idle_since = self._loop.time()
--- a/api_gateway/settings_codec.py
+++ b/api_gateway/settings_codec.py
@@ -81,7 +81,7 @@
     return text in ("true", "1")
 
 
-def _is_polled(text: str) -> bool:
+def _parse_membership_mode(text: str) -> bool:
     return text == "on_request"
 
 
@@ -148,7 +148,7 @@
     SettingKey("bounds.max_retry_after_ms", "max_retry_after_ms", parse_number, 0.0),
     SettingKey("bounds.probing", "health_checks_allowed", _parse_flag, False),
     SettingKey("bounds.peers", "gossip_allowed", _parse_flag, False),
-    SettingKey("membership_mode", "discovery_by_polling", _is_polled, False),
+    SettingKey("membership_mode", "discovery_by_polling", _parse_membership_mode, False),
     SettingKey("family_info.may_count", "counter_enabled", _parse_flag, False),
     SettingKey("family_info.count_wait_ms", "counter_timeout_ms", parse_number, 50.0),
     SettingKey("family_info.most_units", "max_request_units", _parse_limit, math.inf),
--- a/testbed/simulated_gateways.py
+++ b/testbed/simulated_gateways.py
@@ -246,7 +246,7 @@
             gateway_count=self._fleet_size,
             first_gateway=0,
             is_retry=False,
-            read_at=time.monotonic(),
+            received_at_s=time.monotonic(),
             head=REQUEST_HEAD,
             body=b"",
         )
--- a/testbed/simulated_pool.py
+++ b/testbed/simulated_pool.py
@@ -105,7 +105,7 @@
 
     def cancel(self, attempt: Attempt) -> None:
         """End an attempt without a response."""
-        self._end(attempt, AttemptResult.CANCELLED, None)
+        self._end_attempt(attempt, AttemptResult.CANCELLED, None)
 
     def connections(self) -> int:
         """Return the number of open connections, idle or with a request in flight."""
@@ -114,7 +114,7 @@
     def send(self, attempt: Attempt) -> None:
         """Send an attempt on an idle connection or a new one."""
         if not self._accepts_requests.get(attempt.endpoint_name):
-            self._loop.call_soon(self._end, attempt, AttemptResult.CONNECT_FAILED, None)
+            self._loop.call_soon(self._end_attempt, attempt, AttemptResult.CONNECT_FAILED, None)
             return
         idle = self._idle_connections(attempt.endpoint_name)
         # The timers of the event loop have a resolution of 1 ms.
@@ -140,10 +140,10 @@
         if attempt.endpoint_name in self._accepts_requests:
             self._idle_since.setdefault(attempt.endpoint_name, deque()).append(self._loop.time())
         self._endpoints.current_service_time_s = service_time_s
-        self._end(attempt, AttemptResult.OK, OK_RESPONSE)
+        self._end_attempt(attempt, AttemptResult.OK, OK_RESPONSE)
         self._endpoints.current_service_time_s = 0.0
 
-    def _end(self, attempt: Attempt, result: AttemptResult, response: Response | None) -> None:
+    def _end_attempt(self, attempt: Attempt, result: AttemptResult, response: Response | None) -> None:
         if not attempt.is_done:
             attempt.is_done = True
             self._on_attempt_ended(attempt, result, response)
--- a/tests/support/dispatcher_driver.py
+++ b/tests/support/dispatcher_driver.py
@@ -85,7 +85,7 @@
         gateway_count=1,
         first_gateway=0,
         is_retry=False,
-        read_at=time.monotonic(),
+        received_at_s=time.monotonic(),
         head=b"POST /api/0 HTTP/1.1\r\nX-Request-Id: a\r\nContent-Length: 0\r\n",
         body=body,
     )
--- a/tests/test_acceptance_client_disconnect.py
+++ b/tests/test_acceptance_client_disconnect.py
@@ -83,7 +83,7 @@
         client.close()
         attempt = dispatcher._request_handler.requests.get(request_id).attempts[0]
         decisions.next_actions[AttemptEnded] = [StartAttempt(request_id, ENDPOINT_NAME, 5000)]
-        dispatcher._pool._abort(attempt, result)
+        dispatcher._pool._abort_attempt(attempt, result)
         assert decisions.attempt_results()[-1] == AttemptResult.NOT_STARTED
         assert ClientDisconnected(request_id) in decisions.events
         await frontend.assert_requests_at_endpoint(1)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -56,7 +56,7 @@
         raise RuntimeError
 
     with monkeypatch.context() as patch:
-        patch.setattr(driver.gateway.attempt_flow, "start", fail)
+        patch.setattr(driver.gateway.attempt_flow, "start_attempt", fail)
         with pytest.raises(RuntimeError):
             # Fails after it has added a counter call.
             driver.send_request(plan="basic", remaining_time_ms=200)
--- a/tests/test_request_parsing.py
+++ b/tests/test_request_parsing.py
@@ -57,7 +57,7 @@
         gateway_count=2,
         first_gateway=1,
         is_retry=True,
-        read_at=17.0,
+        received_at_s=17.0,
         head=b"GET /api/v2/00000000B4D65521?page=2 HTTP/1.1\r\nHost: upstream\r\nX-Request-Id: id-1\r\n",
         body=b"",
     )
