--- a/api_gateway/network/discovery_codec.py
+++ b/api_gateway/network/discovery_codec.py
@@ -64,10 +64,14 @@
         MalformedEndpointListError: The value is not an endpoint list.
     """
     if not isinstance(raw, dict) or not isinstance(raw.get("instances"), list):
-        raise MalformedEndpointListError("is no list of instances")
+        raise MalformedEndpointListError(
+            "expected an object with a list of instances, got "
+            f"{type(raw.get('instances') if isinstance(raw, dict) else raw).__name__}"
+            f"{' as instances' if isinstance(raw, dict) else ''}"
+        )
     generation = raw.get("generation")
     if not isinstance(generation, int) or isinstance(generation, bool):
-        raise MalformedEndpointListError(f"generation {generation!r} is not a whole number")
+        raise MalformedEndpointListError(f"generation: expected a whole number, got {generation!r:.80}")
     endpoints: list[Endpoint] = []
     addresses: dict[str, Address] = {}
     for entry in raw["instances"]:
@@ -80,10 +84,15 @@
 
 def _parse_instance(entry: object) -> tuple[Endpoint, Address | None]:
     if not isinstance(entry, dict):
-        raise MalformedEndpointListError("an instance without instanceId")
+        raise MalformedEndpointListError(
+            f"instances: expected a list of objects, got an item of type {type(entry).__name__}"
+        )
     name = entry.get("instanceId")
     if not isinstance(name, str) or not name:
-        raise MalformedEndpointListError("an instance without instanceId")
+        raise MalformedEndpointListError(
+            "instanceId: expected a non-empty string, got "
+            f"{'an empty one' if isinstance(name, str) else type(name).__name__}"
+        )
     # An instance with an unknown lifecycle, such as one that a later version of discovery defines, may not
     # accept new requests.
     status = STATUS_BY_LIFECYCLE.get(entry.get("lifecycle"), EndpointStatus.DRAINING)
@@ -98,12 +107,18 @@
             started_at_ms=float(entry.get("startedAtMs", 0)),
         )
     except (TypeError, ValueError):
-        raise MalformedEndpointListError(f"{name}: cell, weight or startedAtMs is not a number") from None
+        raise MalformedEndpointListError(
+            f"instance {name!r:.80}: expected numbers as cell, weight and startedAtMs, got "
+            f"{type(entry.get('cell', 0)).__name__}, {type(entry.get('weight', 1.0)).__name__} and "
+            f"{type(entry.get('startedAtMs', 0)).__name__}"
+        ) from None
     return endpoint, address
 
 
 def _parse_address(name: str, entry: dict[str, object]) -> Address:
     address = parse_address(str(entry.get("hostPort", "")))
     if address is None:
-        raise MalformedEndpointListError(f"{name}: hostPort {entry.get('hostPort')!r} is not HOST:PORT")
+        raise MalformedEndpointListError(
+            f"instance {name!r:.80}: expected HOST:PORT as hostPort, got {entry.get('hostPort')!r:.80}"
+        )
     return address
