--- a/api_gateway/network/open_requests.py
+++ b/api_gateway/network/open_requests.py
@@ -42,12 +42,12 @@
         class_name: Name of its request class.
         plan_name: Name of its tenant's plan.
         tenant: Id of the tenant whose quota it uses.
-        remaining_ms: Time until the deadline, counted from when the client sent the request.
+        remaining_time_ms: Time until the deadline, counted from when the client sent the request.
         units: Its size in quota units, as estimated by the client.
         gateway_count: Number of gateways that receive the requests of its tenant.
         first_gateway: Index of the first of these gateways.
         is_retry: Whether it is a retry by the client.
-        read_at: When its last byte was read, in s of `time.monotonic`.
+        received_at_s: When its last byte was read, in s of `time.monotonic`.
         head: Request line and headers for the endpoint, without `X-Deadline` and the empty line.
         body: The body.
     """
@@ -56,12 +56,12 @@
     class_name: str
     plan_name: str
     tenant: str
-    remaining_ms: float
+    remaining_time_ms: float
     units: float
     gateway_count: int
     first_gateway: int
     is_retry: bool
-    read_at: float
+    received_at_s: float
     head: bytes
     body: bytes
 
