--- a/api_gateway/model/actions.py
+++ b/api_gateway/model/actions.py
@@ -17,7 +17,8 @@
     Attributes:
         request_id: Id of the request.
         endpoint: Name of the endpoint.
-        timeout_ms: Time until the attempt ends without a response.
+        timeout_ms: Time from this action after which the attempt ends if it has no response; 0 for the
+            remaining time of the request.
         write_timeout_ms: Time within which the last byte must be written; afterwards the attempt must be
             withdrawn. Infinite for no limit.
     """
--- a/api_gateway/model/endpoints.py
+++ b/api_gateway/model/endpoints.py
@@ -18,7 +18,7 @@
     """What an update of the endpoint list contains."""
 
     FULL = "full"  # all endpoints, from discovery
-    CACHED = "cached"  # all endpoints, from this gateway's cache
+    CACHED = "cached"  # all endpoints, from a list stored before the start, which may be outdated
     CHANGES = "changes"  # only the endpoints that have changed
     FAILED = "failed"  # no endpoints, since the call to discovery failed
 
--- a/api_gateway/model/events.py
+++ b/api_gateway/model/events.py
@@ -10,7 +10,10 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointUpdate:
-    """Occurs at startup with the cached endpoint list, and then with each response of discovery."""
+    """Occurs at startup with the cached endpoint list, and then with each full list or change from discovery.
+
+    May also occur when a call to discovery has failed.
+    """
 
     kind: UpdateKind
     endpoints: tuple[Endpoint, ...] = ()
@@ -21,15 +24,15 @@
     """Occurs when a request has been read completely; it must get exactly one final response.
 
     Attributes:
-        request_id: Id that is unique among the requests in flight.
+        request_id: Id that no other pending request has; a request with the id of a pending one is ignored.
         class_name: Name of its request class.
         plan_name: Name of its tenant's plan.
         tenant: Name of the tenant that is charged for it.
         time_left_ms: Remaining time until the client's deadline.
         units: Its size in quota units, as estimated by the client.
-        gateway_count: Number of gateways that the tenant's requests may come through.
-        first_gateway: Index of the first of these gateways.
-        is_retry: Whether the client has sent the same request before.
+        gateway_count: Number of gateways over which the tenant's requests are distributed.
+        first_gateway: Index of the first of these gateways. Not used by the decisions.
+        is_retry: Whether the client has sent the same request before. Not used by the decisions.
     """
 
     request_id: str
@@ -52,9 +55,12 @@
         attempt: Number of the attempt within the request, from 0.
         endpoint: Name of the endpoint that it was sent to.
         result: How it ended.
-        duration_ms: Time from its start to its end.
-        is_final: Whether the request has its final response.
-        metered_usage_percent: 1 + the tenant's metered usage; 0 if not reported.
+        duration_ms: Time from its start to its end; if it has a response, without the time for which that was
+            unread.
+        is_final: Whether the request needs no response any more: it has its final response, or its client has
+            disconnected.
+        metered_usage_percent: The tenant's metered usage in percent, plus 1, so that 0 stands for no report.
+            Not used by the decisions.
         actual_units: Units that the request used; 0 if not reported.
         load_report: Load figures that the endpoint reported, by name.
     """
@@ -80,7 +86,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """Occurs when the client has disconnected or has a response that was not decided on by an action."""
+    """Occurs when the client has disconnected, or the caller has responded with 504 without an action."""
 
     request_id: str
 
@@ -111,7 +117,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HealthCheckEnded:
-    """Occurs when a health check ends."""
+    """Occurs when a health check ends. The decisions ignore it."""
 
     endpoint: str
     result: AttemptResult
@@ -121,7 +127,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GossipReceived:
-    """Occurs when a gossip message of another gateway arrives."""
+    """Occurs when a gossip message of another gateway arrives. The decisions ignore it."""
 
     sender: int
     payload: bytes
--- a/api_gateway/model/results.py
+++ b/api_gateway/model/results.py
@@ -23,12 +23,15 @@
     CONNECT_FAILED = "connect_failed"
     CONNECTION_RESET = "connection_reset"
     CANCELLED = "cancelled"
-    NOT_STARTED = "not_started"  # the client had disconnected or the deadline had passed before it was sent
+    # Not sent: the client had disconnected, the deadline had passed, or `max_attempts` was reached.
+    NOT_STARTED = "not_started"
     MALFORMED_RESPONSE = "malformed_response"  # the request may have run; says little about the endpoint
     STALE_CONNECTION = "stale_connection"  # a reused connection broke; the request may have run
     NOT_SENT = "not_sent"  # the connection broke before the last byte of the request was written
     LOCAL_LIMIT = "local_limit"  # reached a limit of this gateway; says nothing about the endpoint
-    WITHDRAWN = "withdrawn"  # no longer allowed when it was about to be written
+    # Ended before its last byte was written: the endpoint was draining, removed or replaced by a new process,
+    # the client had a response or had disconnected, or the write deadline had passed.
+    WITHDRAWN = "withdrawn"
 
     def __init__(self, _: str) -> None:
         """Set `never_ran`."""
@@ -45,7 +48,7 @@
     FAILED = "failed"  # nothing was added
     CONNECT_FAILED = "connect_failed"  # nothing was added
     TIMED_OUT = "timed_out"  # the amount may have been added
-    MALFORMED_RESPONSE = "malformed_response"  # the amount was added, but the counter value is unreadable
+    MALFORMED_RESPONSE = "malformed_response"  # the amount may have been added; no usable counter value
     CONNECTION_LOST = "connection_lost"  # the amount may have been added; says little about the counter
 
     @property
@@ -66,11 +69,12 @@
     UNKNOWN_CLASS_OR_PLAN = "unknown_class_or_plan"
     NO_ENDPOINTS = "no_endpoints"  # the endpoint list is empty
     DEADLINE_PASSED = "deadline_passed"
-    OBJECTIVE_PASSED = "objective_passed"  # spent on earlier requests or on waiting for a counter value
+    # The latency objective passed during earlier requests, or while waiting for a counter value.
+    OBJECTIVE_PASSED = "objective_passed"
     TENANT_TABLE_FULL = "tenant_table_full"
     LOAD_SHED = "load_shed"  # shed since the back end is overloaded
     OVER_QUOTA = "over_quota"
     CONCURRENCY_LIMIT = "concurrency_limit"  # the tenant has too many requests in flight
     CEILING = "ceiling"  # the tenant is at the ceiling of its plan
     NO_ENDPOINT_AVAILABLE = "no_endpoint_available"  # no endpoint may be sent the request now
-    ATTEMPTS_EXHAUSTED = "attempts_exhausted"  # no attempt ran, and a further one is not worth its cost
+    ATTEMPTS_EXHAUSTED = "attempts_exhausted"  # no attempt ran; a further one is impossible or not worthwhile
--- a/api_gateway/model/settings.py
+++ b/api_gateway/model/settings.py
@@ -76,11 +76,14 @@
         quota_burst: Capacity of the quota's token bucket, in units.
         priority_weight: Factor on the weight of the request class.
         over_quota_weight: Fraction of the weight that a response over the quota has.
-        over_quota_cost: Fraction of the weight that a request over the quota costs.
+        over_quota_cost: Cost of serving a request over the quota, as a fraction of the weight; it is only
+            served if `over_quota_weight` is higher.
         ceiling_rate: Refill rate of the hard ceiling, in units per second; 0 for no ceiling.
         ceiling_burst: Capacity of the ceiling's token bucket, in units.
-        ceiling_tolerance: Ratio to the ceiling by which usage may exceed it.
-        max_concurrent_requests: Most requests in flight at once; 0 for no limit.
+        ceiling_tolerance: Usage beyond the ceiling that is tolerated, as a multiple of the ceiling. Not used
+            by the decisions, which keep to the ceiling.
+        max_concurrent_requests: Maximum number of requests in flight at once, over all gateways; 0 for no
+            limit.
     """
 
     name: str
@@ -105,13 +108,14 @@
         gateway_index: Index of this gateway in the fleet, from 0.
         fleet_size: Number of gateways in the fleet.
         zone: Zone that this gateway runs in.
-        max_attempts: Most attempts for one request, including the first one.
+        max_attempts: Maximum number of attempts for one request, including the first one.
         hedging_allowed: Whether two attempts of a request may be in flight at once.
         cancellation_supported: Whether an attempt can be cancelled.
         max_retry_after_ms: Longest Retry-After allowed; 0 for none.
         health_checks_allowed: Whether endpoints may be sent health checks.
         gossip_allowed: Whether gateways may send each other gossip messages.
-        discovery_by_polling: Whether the endpoint list comes only in response to a request.
+        discovery_by_polling: Whether the whole fleet polls one discovery service for the endpoint list;
+            otherwise it comes from an agent on each gateway's machine.
         counter_enabled: Whether the counter service may be called.
         max_request_units: Units of the largest request.
         counter_timeout_ms: Timeout of a call to the counter service.
