--- a/api_gateway/decisions/attempt_flow.py
+++ b/api_gateway/decisions/attempt_flow.py
@@ -66,7 +66,7 @@
         self._outlier_detector = outlier_detector
         self._retry_policy = retry_policy
         self._load_sampler = load_sampler
-        self._class_latencies = admission.occupancy.classes
+        self._class_latencies = admission.occupancy.class_latencies
         self._usage_reporter = usage_reporter
         self._traffic = traffic
         self._latency = latency
@@ -144,7 +144,10 @@
             pending.is_streaming = True
 
     def finish(self, pending: PendingRequest) -> None:
-        """Stop attempting a request, and cancel its attempts in flight; it stays pending until they end."""
+        """Stop attempting a request; it stays pending until its attempts in flight end.
+
+        These are cancelled if that is supported, unless the response is being streamed.
+        """
         in_flight = [i for i, attempt in enumerate(pending.attempts) if attempt.is_in_flight]
         if self._is_cancellation_supported and not pending.is_streaming and not pending.is_finished:
             self._actions.extend(CancelAttempt(pending.request_id, i) for i in in_flight)
@@ -154,7 +157,7 @@
 
     def _give_up(self, pending: PendingRequest) -> None:
         """Reject a request that cannot be served, or fail it if it may have run."""
-        if pending.may_have_run():
+        if pending.any_attempt_may_have_run():
             self._actions.append(FailRequest(pending.request_id))
         else:
             self._rejections.reject(pending.request_id, RejectReason.ATTEMPTS_EXHAUSTED)
--- a/api_gateway/decisions/ceiling.py
+++ b/api_gateway/decisions/ceiling.py
@@ -18,7 +18,7 @@
         filled_from_ms: When the share begins to fill, in milliseconds.
 
     Attributes:
-        tokens: Units in the share when it was last refilled.
+        tokens: Units in the share as of the last refill, less those spent since.
     """
 
     def __init__(self, plan: Plan, filled_from_ms: float) -> None:
@@ -31,7 +31,7 @@
 
         Args:
             units: Size of the request.
-            gateway_count: Number of gateways that the tenant's requests may come through.
+            gateway_count: Number of gateways over which the tenant's requests are distributed.
             now_ms: The current time, in milliseconds.
         """
         plan = self._plan
--- a/api_gateway/decisions/counter_health.py
+++ b/api_gateway/decisions/counter_health.py
@@ -26,8 +26,8 @@
         rng: Source of the random draws that throttle calls.
 
     Attributes:
-        response_fraction: Running fraction of calls that get a response, 0 to 1. A rejection is not counted
-            as a response.
+        response_fraction: Running fraction of calls with the result OK or MALFORMED_RESPONSE, 0 to 1.
+            Rejections and failures do not count as responses.
     """
 
     def __init__(self, log: RateLimitedLog, rng: Random) -> None:
--- a/api_gateway/decisions/endpoints.py
+++ b/api_gateway/decisions/endpoints.py
@@ -14,31 +14,36 @@
     """State that this gateway keeps of one endpoint.
 
     Args:
-        endpoint: Its entry in the endpoint list.
+        entry: Its entry in the endpoint list.
 
     Attributes:
         in_flight: Number of this gateway's attempts in flight.
         latency_ratio: Running mean of the ratio of its latency to the typical latency of the request's class.
         consecutive_failures: Counted failures since its last success.
         ejection_count: Number of ejections since its last success, up to a limit; 0 if it is not ejected.
-        ejected_until_ms: When the next probe may be sent.
+        next_probe_at_ms: When its backoff ends and a probe is due; only valid while it is ejected.
         has_connect_failure: Whether a connect has failed since its last success; it may have restarted since.
         connection_idle_since_ms: When its last successful response left a connection idle.
         started_at_ms: When its process started, by the endpoint list; 0 if that is long ago.
         slow_start_began_at_ms: When its slow start began; 0 if that is long ago.
         slow_start_budget: Work that it may be sent in slow start, in milliseconds of typical latency, as of
             `slow_start_budget_at_ms`.
+        slow_start_budget_at_ms: When the budget was last refilled.
         last_attempt_at_ms: When it was last sent an attempt.
         last_time_slot: Number of the last time slot that was used to send it a single request.
+        zone: Zone that it runs in.
+        failure_domain: Number of its failure domain within the zone.
+        weight: Its capacity as a multiple of the standard capacity, above 0.
+        is_up: Whether it accepts new requests.
     """
 
-    def __init__(self, endpoint: Endpoint) -> None:
-        self.name = endpoint.name
+    def __init__(self, entry: Endpoint) -> None:
+        self.name = entry.name
         self.in_flight = 0
         self.latency_ratio = 1.0
         self.consecutive_failures = 0
         self.ejection_count = 0
-        self.ejected_until_ms = 0.0
+        self.next_probe_at_ms = 0.0
         self.has_connect_failure = False
         self.connection_idle_since_ms = LONG_AGO_MS
         self.started_at_ms = 0.0
@@ -47,31 +52,35 @@
         self.slow_start_budget_at_ms = 0.0
         self.last_attempt_at_ms = 0.0
         self.last_time_slot = -1
-        self.update(endpoint)
+        self.update(entry)
 
     @property
     def is_ejected(self) -> bool:
         """Whether it is ejected; it then gets only probes, until one succeeds."""
         return self.ejection_count > 0
 
-    def update(self, endpoint: Endpoint) -> None:
-        """Apply an entry of the endpoint list; a later start means a new process and resets the state."""
-        self.zone = endpoint.zone
-        self.failure_domain = endpoint.failure_domain
-        self.weight = max(endpoint.weight, MIN_WEIGHT)
-        self.is_up = endpoint.status is EndpointStatus.UP
-        if endpoint.started_at_ms > self.started_at_ms:
-            self.started_at_ms = self.slow_start_began_at_ms = endpoint.started_at_ms
+    def update(self, entry: Endpoint) -> None:
+        """Apply an entry of the endpoint list.
+
+        A later start means a new process: it begins its slow start, and its failures, ejection and latency
+        ratio are reset.
+        """
+        self.zone = entry.zone
+        self.failure_domain = entry.failure_domain
+        self.weight = max(entry.weight, MIN_WEIGHT)
+        self.is_up = entry.status is EndpointStatus.UP
+        if entry.started_at_ms > self.started_at_ms:
+            self.started_at_ms = self.slow_start_began_at_ms = entry.started_at_ms
             self.slow_start_budget = 0.0
             self.consecutive_failures = self.ejection_count = 0
-            self.ejected_until_ms = 0.0
+            self.next_probe_at_ms = 0.0
             self.has_connect_failure = False
             self.latency_ratio = 1.0
 
-    def has_same_placement(self, endpoint: Endpoint) -> bool:
+    def has_same_placement(self, entry: Endpoint) -> bool:
         """Whether an entry has the same zone and failure domain, and agrees on whether it is up."""
-        is_up = endpoint.status is EndpointStatus.UP
-        return (self.zone, self.failure_domain, self.is_up) == (endpoint.zone, endpoint.failure_domain, is_up)
+        is_up = entry.status is EndpointStatus.UP
+        return (self.zone, self.failure_domain, self.is_up) == (entry.zone, entry.failure_domain, is_up)
 
 
 class EndpointTable:
@@ -95,7 +104,11 @@
         return len(self._endpoints)
 
     def __getitem__(self, name: str) -> EndpointState:
-        """Return the endpoint with this name."""
+        """Return the endpoint with this name.
+
+        Raises:
+            KeyError: There is no such endpoint.
+        """
         return self._endpoints[name]
 
     def __contains__(self, name: str) -> bool:
@@ -111,28 +124,31 @@
         self.revision += 1
 
     def apply(self, update: EndpointUpdate) -> None:
-        """Apply an update of the endpoint list; a complete list removes the endpoints that it omits."""
+        """Apply an update of the endpoint list, which must not be `FAILED`.
+
+        `FULL` and `CACHED` remove the endpoints that they omit.
+        """
         if update.kind is not UpdateKind.CHANGES:
-            listed = {endpoint.name for endpoint in update.endpoints}
+            listed = {entry.name for entry in update.endpoints}
             for name in [name for name in self._endpoints if name not in listed]:
                 self._remove(name)
-        for endpoint in update.endpoints:
-            self._apply_entry(endpoint)
+        for entry in update.endpoints:
+            self._apply_entry(entry)
 
-    def _apply_entry(self, endpoint: Endpoint) -> None:
-        state = self._endpoints.get(endpoint.name)
-        if endpoint.status is EndpointStatus.REMOVED:
+    def _apply_entry(self, entry: Endpoint) -> None:
+        state = self._endpoints.get(entry.name)
+        if entry.status is EndpointStatus.REMOVED:
             if state is not None:
-                self._remove(endpoint.name)
+                self._remove(entry.name)
         elif state is None:
-            state = self._endpoints[endpoint.name] = EndpointState(endpoint)
+            state = self._endpoints[entry.name] = EndpointState(entry)
             self._index(state)
-        elif state.has_same_placement(endpoint):
-            state.update(endpoint)
+        elif state.has_same_placement(entry):
+            state.update(entry)
             self.mark_changed()
         else:
             self._unindex(state)
-            state.update(endpoint)
+            state.update(entry)
             self._index(state)
 
     def _remove(self, name: str) -> None:
--- a/api_gateway/decisions/gateway.py
+++ b/api_gateway/decisions/gateway.py
@@ -229,7 +229,11 @@
             self._actions.append(SubscribeToEndpoints())
 
     def _sweep(self, now_ms: float) -> None:
-        """Update rates, estimates and sizes, and decide on requests that have waited too long."""
+        """Update rates, estimates and sizes, decide on overdue requests, and evict idle tenants.
+
+        The size of the subset depends on the admitted fraction and the attempt rate, so it comes after
+        them.
+        """
         elapsed_ms, age_ms = self.sweep_timer.elapsed_ms(now_ms), self.uptime.age_ms(now_ms)
         decay_factor = self.traffic.sweep_completions(elapsed_ms, age_ms)
         subset = self.subset.refresh(now_ms)
@@ -246,7 +250,10 @@
         self._actions.append(self.sweep_timer.restart(now_ms))
 
     def _is_overloaded(self) -> bool:
-        """Whether load is shed, most endpoints are ejected, or many attempts are in flight."""
+        """Whether load is shed, most endpoints are ejected, or many attempts are in flight.
+
+        Many are more than one attempt for every two warm endpoints of the subset.
+        """
         is_shedding = self.admission.admitted_fraction < OVERLOADED_ADMITTED_FRACTION
         is_loaded = 2 * self.pending_requests.attempts_in_flight > len(self.subset.warm)
         return is_shedding or self.outlier_detector.is_majority_ejected or is_loaded
--- a/api_gateway/decisions/latency.py
+++ b/api_gateway/decisions/latency.py
@@ -14,7 +14,10 @@
 
 SAMPLED_REQUESTS = 64  # The timeout of a class's clients is estimated from this many of its last requests.
 RECOUNT_INTERVAL_REQUESTS = SAMPLED_REQUESTS // 8  # Sorting for each request would cost too much time.
-TYPICAL_PERCENTILE = 70  # All remaining times are compared with this percentile of them.
+
+# All remaining times are compared with this percentile of them. First requests have the longest ones, so that
+# it is their full timeout if at least 30 % of the requests are first requests.
+TYPICAL_PERCENTILE = 70
 SAME_TIME_TOLERANCE = 0.01  # Remaining times that differ by at most this fraction count as equal.
 
 
--- a/api_gateway/decisions/load_sampling.py
+++ b/api_gateway/decisions/load_sampling.py
@@ -13,7 +13,7 @@
 from api_gateway.decisions.outlier_detection import OutlierDetector
 from api_gateway.decisions.pending_requests import Attempt, PendingRequest, PendingRequests
 from api_gateway.decisions.rate_limited_log import RateLimitedLog
-from api_gateway.decisions.retry import CONNECTION_FAILURES
+from api_gateway.decisions.retry import INTERRUPTED_RESULTS
 from api_gateway.decisions.subset import EndpointSubset
 from api_gateway.decisions.subset_sizing import OVERLOADED_ADMITTED_FRACTION
 from api_gateway.decisions.traffic import TrafficRates
@@ -28,7 +28,7 @@
 # A deviation of the attempts in flight from their mean is attributed to random variation up to this limit.
 DELAY_NOISE_STANDARD_DEVIATIONS = 2.0
 
-UNINFORMATIVE_RESULTS = CONNECTION_FAILURES | {
+UNINFORMATIVE_RESULTS = INTERRUPTED_RESULTS | {
     AttemptResult.CANCELLED,
     AttemptResult.MALFORMED_RESPONSE,
     AttemptResult.LOCAL_LIMIT,
@@ -85,8 +85,10 @@
             now_ms: The current time, in milliseconds.
         """
         occupancy = self._admission.occupancy
-        latency = self._record_sample(pending, attempt, event, now_ms)
-        occupancy.classes[pending.class_name].end_attempt(attempt.latency_block, latency, now_ms)
+        latency_fraction = self._record_sample(pending, attempt, event, now_ms)
+        occupancy.class_latencies[pending.class_name].end_attempt(
+            attempt.latency_block, latency_fraction, now_ms
+        )
         if occupancy.pending_samples >= MAX_SAMPLES_PER_UPDATE:
             self.update_admission(now_ms)
 
@@ -104,23 +106,23 @@
             return None  # Outliers are ejected; their latencies would shed load on all other endpoints.
         occupancy, class_name = self._admission.occupancy, pending.class_name
         if event.result in (AttemptResult.OK, AttemptResult.ERROR):
-            latency = min(event.duration_ms / pending.request_class.latency_objective_ms, 1.0)
-            self._record_response(class_name, latency, now_ms)
-            return latency
+            latency_fraction = min(event.duration_ms / pending.request_class.latency_objective_ms, 1.0)
+            self._record_response(class_name, latency_fraction, now_ms)
+            return latency_fraction
         if event.result is AttemptResult.TIMED_OUT:
             is_overload = occupancy.record_timeout(class_name)
-            if is_overload and occupancy.classes[class_name].may_miss_objective_when_idle:
+            if is_overload and occupancy.class_latencies[class_name].may_miss_objective_when_idle:
                 self._traffic.record_completion()
             return 1.0 if is_overload else None
         occupancy.record_overload()
         return None
 
-    def _record_response(self, class_name: str, latency: float, now_ms: float) -> None:
+    def _record_response(self, class_name: str, latency_fraction: float, now_ms: float) -> None:
         """Record a response, with the queueing delay that the attempts in flight predict by Little's law.
 
         Args:
             class_name: Name of the request class.
-            latency: Latency as a fraction of the objective, at most 1.
+            latency_fraction: Latency as a fraction of the objective, at most 1.
             now_ms: The current time, in milliseconds.
         """
         occupancy = self._admission.occupancy
@@ -128,7 +130,9 @@
         # A rate that was measured over two or three completions predicts nothing.
         confidence = min(completions / (3 * MIN_RELIABLE_SAMPLES), 1.0)
         predicted_delay_ms, delay_noise_ms = self._predicted_delay_ms()
-        occupancy.record_response(class_name, latency, predicted_delay_ms, delay_noise_ms, confidence)
+        occupancy.record_response(
+            class_name, latency_fraction, predicted_delay_ms, delay_noise_ms, confidence
+        )
 
     def _predicted_delay_ms(self) -> tuple[float, float]:
         """Return the predicted queueing delay of a new attempt, and its random variation.
@@ -139,7 +143,10 @@
         completion_rate, baseline_ms = self._traffic.completion_rate, self._admission.occupancy.baseline_ms
         if completion_rate <= 0:
             return 0.0, 0.0
+        # Attempts at ejected endpoints say nothing about the queues of the others.
         in_flight = self._pending_requests.attempts_in_flight - sum(e.in_flight for e in self._subset.ejected)
+        # By Little's law, completion_rate * baseline_ms attempts are in flight on idle endpoints. The
+        # standard deviation of their number is about its square root; divided by the rate, it is a delay.
         delay_noise_ms = DELAY_NOISE_STANDARD_DEVIATIONS * math.sqrt(baseline_ms / completion_rate)
         return in_flight / completion_rate - baseline_ms, delay_noise_ms
 
@@ -150,10 +157,10 @@
             # Otherwise the occupancy would stay high long after an overload: near the minimum of the admitted
             # fraction, few requests give new samples.
             occupancy.decay(1 - SWEEP_INTERVAL_MS / self._longest_objective_ms)
-        overdue_requests = 0
+        overdue_attempts = 0
         if occupancy.sample_count < MIN_OCCUPANCY_SAMPLES:
-            overdue_requests = self._pending_requests.count_overdue(OVERDUE_OBJECTIVE_FRACTION, now_ms)
-        self._admission.update(overdue_requests)
+            overdue_attempts = self._pending_requests.count_overdue(OVERDUE_OBJECTIVE_FRACTION, now_ms)
+        self._admission.update(overdue_attempts)
         admitted_fraction = self._admission.admitted_fraction
         if admitted_fraction < OVERLOADED_ADMITTED_FRACTION:
             details = f"occupancy={occupancy.smoothed:.2f} admitted_fraction={admitted_fraction:.2f}"
--- a/api_gateway/decisions/occupancy.py
+++ b/api_gateway/decisions/occupancy.py
@@ -47,19 +47,22 @@
     Attributes:
         sent_count: Number of attempts.
         in_flight: Number of attempts in flight.
-        response_count: Number of attempts whose latency is known.
-        latency_sum: Sum of these latencies as fractions of the objective.
+        latency_count: Number of attempts with a latency, including timeouts that count as overload.
+        latency_fraction_sum: Sum of these latencies as fractions of the objective; 1 for a timeout.
     """
 
     def __init__(self, started_at_ms: float) -> None:
         self.started_at_ms = started_at_ms
         self.sent_count = 0
         self.in_flight = 0
-        self.response_count = 0
-        self.latency_sum = 0.0
+        self.latency_count = 0
+        self.latency_fraction_sum = 0.0
 
     def is_full(self, now_ms: float) -> bool:
-        """Whether the block has enough attempts, over a time in which queues build up and drain."""
+        """Whether the block has enough attempts for its duration.
+
+        It needs `MAX_BLOCK_ATTEMPTS`, or `SMOOTHING_SAMPLES` once `MIN_BLOCK_DURATION_MS` have passed.
+        """
         elapsed_ms = now_ms - self.started_at_ms
         min_attempts = SMOOTHING_SAMPLES if elapsed_ms >= MIN_BLOCK_DURATION_MS else MAX_BLOCK_ATTEMPTS
         return self.sent_count >= min_attempts
@@ -97,25 +100,25 @@
         self._current_block.in_flight += 1
         return self._current_block
 
-    def end_attempt(self, block: LatencyBlock, latency: float | None, now_ms: float) -> None:
+    def end_attempt(self, block: LatencyBlock, latency_fraction: float | None, now_ms: float) -> None:
         """Record the end of an attempt.
 
         Args:
             block: The block that `start_attempt` returned.
-            latency: Latency as a fraction of the objective; None if the result does not show it.
+            latency_fraction: Latency as a fraction of the objective; None if the result does not show it.
             now_ms: When the attempt ended, in milliseconds.
         """
         block.in_flight -= 1
-        if latency is not None:
-            block.response_count += 1
-            block.latency_sum += latency
-            self._record_latency(latency)
-        if not block.in_flight and block.is_full(now_ms) and 2 * block.response_count >= block.sent_count:
+        if latency_fraction is not None:
+            block.latency_count += 1
+            block.latency_fraction_sum += latency_fraction
+            self._record_latency(latency_fraction)
+        if not block.in_flight and block.is_full(now_ms) and 2 * block.latency_count >= block.sent_count:
             self._learn_baseline(block, now_ms)
 
-    def _record_latency(self, latency: float) -> None:
+    def _record_latency(self, latency_fraction: float) -> None:
         self.sample_count += 1
-        deviation = latency - self.mean
+        deviation = latency_fraction - self.mean
         self.mean += deviation * max(1 / self.sample_count, 1 / SMOOTHING_SAMPLES)
         self.variance += (deviation * deviation - self.variance) * max(
             1 / self.sample_count, 1 / VARIANCE_SMOOTHING_SAMPLES
@@ -125,8 +128,8 @@
         """Lower the baseline to the mean of a faster block; raise it slowly towards that of a slower one."""
         if block is self._current_block:
             self._current_block = None
-        mean = block.latency_sum / block.response_count
-        self.standard_error = self.standard_deviation / math.sqrt(block.response_count)
+        mean = block.latency_fraction_sum / block.latency_count
+        self.standard_error = self.standard_deviation / math.sqrt(block.latency_count)
         if self.learned_baseline is None or mean < self.learned_baseline:
             self.learned_baseline = mean
         else:
@@ -166,13 +169,15 @@
         """Whether some responses miss the objective even on idle endpoints."""
         return LOST_RESPONSE_LATENCY_MULTIPLE * self.baseline >= 1.0
 
-    def occupancy(self, latency: float) -> float:
-        """Return the occupancy that a latency shows, less the excess of the baseline.
+    def occupancy(self, latency_fraction: float) -> float:
+        """Return the occupancy that a latency shows, which may be negative.
+
+        It is the latency less the difference by which the baseline exceeds `MIN_SHED_OCCUPANCY`.
 
         Args:
-            latency: Latency as a fraction of the objective.
+            latency_fraction: Latency as a fraction of the objective.
         """
-        return latency - max(self.baseline - MIN_SHED_OCCUPANCY, 0.0)
+        return latency_fraction - max(self.baseline - MIN_SHED_OCCUPANCY, 0.0)
 
 
 class Occupancy:
@@ -182,17 +187,17 @@
         classes: The request classes.
 
     Attributes:
-        classes: Latencies of each request class, by name.
+        class_latencies: Latencies of each request class, by name.
         smoothed: The smoothed occupancy, 0 to 1 (q of SiRED).
         sample_count: Samples since the start.
         pending_samples: Samples since the last update.
         recent_response_occupancy: Mean occupancy shown by the last responses, without predictions.
         lost_response_fraction: Fraction of responses that were lost while other responses were fast.
-        baseline_ms: Mean latency of the classes of the last responses on idle endpoints, in milliseconds.
+        baseline_ms: Running mean, over the last responses, of the baseline of their class, in milliseconds.
     """
 
     def __init__(self, classes: Iterable[RequestClass]) -> None:
-        self.classes = {c.name: ClassLatency(c.latency_objective_ms) for c in classes}
+        self.class_latencies = {c.name: ClassLatency(c.latency_objective_ms) for c in classes}
         self.smoothed = 0.0
         self.sample_count = 0
         self.pending_samples = 0
@@ -207,7 +212,7 @@
     def record_response(
         self,
         class_name: str,
-        latency: float,
+        latency_fraction: float,
         predicted_delay_ms: float,
         delay_noise_ms: float,
         confidence: float,
@@ -216,20 +221,20 @@
 
         Args:
             class_name: Name of the request class.
-            latency: Latency as a fraction of the objective, at most 1.
+            latency_fraction: Latency as a fraction of the objective, at most 1.
             predicted_delay_ms: Queueing delay beyond the baseline that the attempts in flight predict for a
                 new attempt, in milliseconds; negative for a latency below the baseline.
             delay_noise_ms: Random variation of the predicted delay, in milliseconds.
             confidence: How reliable the prediction is, 0 to 1.
         """
-        class_latency = self.classes[class_name]
+        class_latency = self.class_latencies[class_name]
         baseline = class_latency.baseline
         excess = class_latency.baseline_excess
         self.baseline_ms += (
             baseline * class_latency.latency_objective_ms - self.baseline_ms
         ) / SMOOTHING_SAMPLES
         self._baseline_excess += (excess - self._baseline_excess) / SMOOTHING_SAMPLES
-        sample = class_latency.occupancy(latency)
+        sample = class_latency.occupancy(latency_fraction)
         # At a start, responses lag behind the attempts in flight, so that no prediction is used before the
         # baseline is known. A predicted delay within its random variation is not used, either.
         weight = 0.0
@@ -240,15 +245,18 @@
         variance = class_latency.standard_deviation**2
         self.recent_response_occupancy += (sample - self.recent_response_occupancy) / MIN_RELIABLE_SAMPLES
         self.lost_response_fraction -= self.lost_response_fraction / (4 * MIN_RELIABLE_SAMPLES)
-        predicted_latency = min(baseline + predicted_delay_ms / class_latency.latency_objective_ms, 1.0)
-        predicted = class_latency.occupancy(predicted_latency)
+        predicted_latency_fraction = min(
+            baseline + predicted_delay_ms / class_latency.latency_objective_ms, 1.0
+        )
+        predicted = class_latency.occupancy(predicted_latency_fraction)
         self._add_sample(sample + weight * (predicted - sample), (1 - weight) ** 2 * variance)
 
     def record_timeout(self, class_name: str) -> bool:
         """Record an attempt that had no response in time.
 
         While other responses are fast, the response was lost or a single endpoint hangs, which is no
-        overload. Nothing can be concluded for a class that may miss its objective even on idle endpoints.
+        overload. For a class that may miss its objective even on idle endpoints, a lost response cannot be
+        told apart, so that each timeout counts as overload.
 
         Args:
             class_name: Name of the request class.
@@ -256,7 +264,7 @@
         Returns:
             Whether the timeout counts as overload.
         """
-        class_latency = self.classes[class_name]
+        class_latency = self.class_latencies[class_name]
         if (
             not class_latency.may_miss_objective_when_idle
             and self.recent_response_occupancy < MIN_SHED_OCCUPANCY
@@ -279,8 +287,9 @@
         """Update the smoothed occupancy with the samples since the last update.
 
         Args:
-            admitted_fraction: Fraction of requests admitted since then, above 0. Smoothing counts requests
-                received, so that shedding does not slow it down.
+            admitted_fraction: Fraction of requests admitted since then, above 0. The smoothing period is a
+                number of received requests, not of admitted ones, so that load shedding does not slow
+                smoothing down.
 
         Returns:
             Whether there were any samples.
--- a/api_gateway/decisions/outlier_detection.py
+++ b/api_gateway/decisions/outlier_detection.py
@@ -18,7 +18,7 @@
 MAX_EJECTION_COUNT = 10
 # An endpoint is ejected after this many errors, resets or, if it is an outlier, timeouts in a row.
 MAX_CONSECUTIVE_FAILURES = 3
-OUTLIER_LATENCY_RATIO = 2.5  # multiple of the median latency ratio above which an endpoint is an outlier
+OUTLIER_MEDIAN_MULTIPLE = 2.5  # multiple of the median latency ratio above which an endpoint is an outlier
 LATENCY_RATIO_WEIGHT = 0.2  # weight of one result in the running mean of the latency ratio
 MAX_LATENCY_RATIO = 20.0
 MIN_FAILURE_LATENCY_RATIO = 2.0  # least latency ratio that a failed attempt counts with
@@ -80,7 +80,7 @@
 
     def is_outlier(self, endpoint: EndpointState) -> bool:
         """Whether an endpoint is far slower than the median, or ejected while most others are not."""
-        is_slow = endpoint.latency_ratio > OUTLIER_LATENCY_RATIO * self.median_latency_ratio
+        is_slow = endpoint.latency_ratio > OUTLIER_MEDIAN_MULTIPLE * self.median_latency_ratio
         return is_slow or (endpoint.is_ejected and not self.is_majority_ejected)
 
     def record_result(
@@ -103,7 +103,8 @@
         if event.result is AttemptResult.OK:
             self._record_success(endpoint, event.duration_ms / expected_latency_ms, now_ms)
         elif event.result is AttemptResult.CONNECT_FAILED:
-            # A reset affects one connection only; if the endpoint is down, the next connect fails.
+            # A failed connect ejects at once. A single reset does not, since it affects one connection only:
+            # if the endpoint is down, the next connect fails.
             endpoint.has_connect_failure = True
             self.eject(endpoint, now_ms)
         elif event.result in RESET_RESULTS:
@@ -133,17 +134,20 @@
         endpoint.latency_ratio += LATENCY_RATIO_WEIGHT * difference
 
     def _record_failure(self, endpoint: EndpointState, now_ms: float, *, is_counted: bool = True) -> None:
-        """Count a failure, and eject the endpoint if it had too many in a row or this was a probe."""
+        """Count a failure if `is_counted`, and eject the endpoint if it had too many in a row.
+
+        An endpoint that is ejected already is ejected again, as after a failed probe.
+        """
         endpoint.consecutive_failures += is_counted
         if endpoint.is_ejected or endpoint.consecutive_failures >= MAX_CONSECUTIVE_FAILURES:
             self.eject(endpoint, now_ms)
 
     def eject(self, endpoint: EndpointState, now_ms: float) -> None:
         """Eject an endpoint, or double its backoff after a failed probe."""
-        if endpoint.is_ejected and now_ms < endpoint.ejected_until_ms:
+        if endpoint.is_ejected and now_ms < endpoint.next_probe_at_ms:
             return
         backoff_ms = min(EJECTION_BACKOFF_MS * 2**endpoint.ejection_count, MAX_EJECTION_BACKOFF_MS)
-        endpoint.ejected_until_ms = now_ms + backoff_ms
+        endpoint.next_probe_at_ms = now_ms + backoff_ms
         endpoint.ejection_count = min(endpoint.ejection_count + 1, MAX_EJECTION_COUNT)
         self._endpoint_table.mark_changed()
         details = f"endpoint={endpoint.name} ejections={endpoint.ejection_count} backoff_ms={backoff_ms:.0f}"
--- a/api_gateway/decisions/pending_requests.py
+++ b/api_gateway/decisions/pending_requests.py
@@ -42,11 +42,12 @@
         request: The event that it was received with.
         request_class: Its class.
         tenant: The tenant that is charged for it.
-        objective_at_ms: Time after which a response is not worth an attempt.
+        weight_ends_at_ms: When a response loses all weight: after the latency objective, or at the deadline
+            if late responses have a weight.
         deadline_at_ms: Time at which the client stops waiting.
 
     Attributes:
-        work_ms: Its expected latency on an idle endpoint, in milliseconds; set when it is admitted.
+        work_ms: Typical latency of a request of its class and size, in milliseconds; set when it is admitted.
         attempts: Its attempts, in the order in which they started.
         is_finished: Whether the client has its final response or has disconnected.
         is_streaming: Whether a streamed response has begun.
@@ -57,13 +58,13 @@
         request: RequestReceived,
         request_class: RequestClass,
         tenant: Tenant,
-        objective_at_ms: float,
+        weight_ends_at_ms: float,
         deadline_at_ms: float,
     ) -> None:
         self.request = request
         self.request_class = request_class
         self.tenant = tenant
-        self.objective_at_ms = objective_at_ms
+        self.weight_ends_at_ms = weight_ends_at_ms
         self.deadline_at_ms = deadline_at_ms
         self.work_ms = 0.0
         self.attempts: list[Attempt] = []
@@ -89,7 +90,7 @@
         """Whether any attempt is in flight."""
         return any(attempt.is_in_flight for attempt in self.attempts)
 
-    def may_have_run(self) -> bool:
+    def any_attempt_may_have_run(self) -> bool:
         """Whether any attempt may have run."""
         return any(attempt.may_have_run for attempt in self.attempts)
 
--- a/api_gateway/decisions/quota.py
+++ b/api_gateway/decisions/quota.py
@@ -27,6 +27,7 @@
 def window_length_ms(plan: Plan) -> float:
     """Return the length of a quota window, in milliseconds; the plan must have a quota."""
     length_ms = max(REFILLS_PER_WINDOW * 1000.0 * plan.quota_burst / plan.quota_rate, MIN_WINDOW_MS)
+    # A count must outlive its window by one more window, in which its final value is queried.
     return min(length_ms, MAX_COUNT_TTL_MS / 2)
 
 
@@ -60,7 +61,7 @@
 
     Args:
         plan: Plan of the tenant, with a quota or without.
-        gateway_count: Number of gateways that the tenant's requests may come through.
+        gateway_count: Number of gateways over which the tenant's requests are distributed.
         now_ms: The current time, in milliseconds.
         uptime_ms: Time since the start of this gateway, in milliseconds. Its usage before a restart is
             unknown, so that it begins with its share of the refill since the start.
@@ -71,7 +72,8 @@
         window: Number of the current window; -1 before the first.
         window_started_at_ms: When the current window began, in milliseconds.
         is_counter_value_unknown: Whether no counter value of the current window has been read.
-        local_usage: Units that this gateway used in the current window or charged to it.
+        local_usage: Units that this gateway has reported or has to report in the current window: its usage,
+            unreported usage of the last window, debt and expired refill.
         remaining: Estimate of the remaining units at `remaining_at_ms`.
         remaining_at_ms: When `remaining` was last updated, in milliseconds.
         remaining_upper_bound: Remaining units if no other gateway used any since the last counter value.
@@ -151,8 +153,9 @@
     def admits(self, units: float, now_ms: float) -> bool:
         """Refill, and return whether a request of this size is within the quota.
 
-        Without a counter value, the first request of a tenant is admitted: it costs little, and its counter
-        call returns a counter value. An estimate that is less than the request is rounded by a random draw.
+        Before the first counter value, a request is admitted if there is no usage in the window yet: it costs
+        little, and its counter call returns a counter value. An estimate that is less than the request is
+        rounded by a random draw.
 
         Args:
             units: Size of the request.
--- a/api_gateway/decisions/request_flow.py
+++ b/api_gateway/decisions/request_flow.py
@@ -22,7 +22,8 @@
 
 # Requests over their quota are admitted below this fraction of the occupancy at which load shedding begins.
 OVER_QUOTA_OCCUPANCY_FRACTION = 0.5
-# A request waits for a counter value only if its time exceeds the counter's timeout by this many sweeps.
+# A request waits for a counter value only if the remaining time until a response loses all weight exceeds the
+# counter's timeout by this many sweep intervals, since overdue replies are only detected at sweeps.
 MIN_SPARE_SWEEPS = 2
 
 
@@ -87,7 +88,10 @@
     # Receipt
 
     def receive(self, request: RequestReceived, now_ms: float) -> None:
-        """Decide on a request at once, or let it wait for the counter value of its tenant."""
+        """Decide on a request at once, or let it wait for the counter value of its tenant.
+
+        A request whose id is still pending or waiting is ignored.
+        """
         if request.request_id in self._pending_requests or self._usage_reporter.is_waiting(
             request.request_id
         ):
@@ -107,8 +111,8 @@
         self, request: RequestReceived, request_class: RequestClass, plan: Plan, now_ms: float
     ) -> None:
         deadline_at_ms = now_ms + request.time_left_ms
-        objective_at_ms = self._objective_at_ms(request, request_class, deadline_at_ms, now_ms)
-        if objective_at_ms <= now_ms:
+        weight_ends_at_ms = self._weight_ends_at_ms(request, request_class, deadline_at_ms, now_ms)
+        if weight_ends_at_ms <= now_ms:
             self._rejections.reject(request.request_id, RejectReason.OBJECTIVE_PASSED)
             return
         tenant = self._find_tenant(request, plan, now_ms)
@@ -119,20 +123,21 @@
             request=request,
             request_class=request_class,
             tenant=tenant,
-            objective_at_ms=objective_at_ms,
+            weight_ends_at_ms=weight_ends_at_ms,
             deadline_at_ms=deadline_at_ms,
         )
-        has_time_for_counter_call = objective_at_ms - now_ms > self._min_time_for_counter_call_ms
+        has_time_for_counter_call = weight_ends_at_ms - now_ms > self._min_time_for_counter_call_ms
         if not has_time_for_counter_call or not self._usage_reporter.needs_counter_value(
             tenant, request.units, now_ms
         ):
-            self._decide(pending, now_ms, is_admitted=False)
+            self._decide(pending, now_ms, is_already_admitted=False)
+        # Admission control comes first, so that requests that are shed cause no counter calls.
         elif self._is_admitted(pending):
             self._usage_reporter.wait_for_counter_value(pending, now_ms)
         else:
             self._rejections.reject(request.request_id, RejectReason.LOAD_SHED)
 
-    def _objective_at_ms(
+    def _weight_ends_at_ms(
         self, request: RequestReceived, request_class: RequestClass, deadline_at_ms: float, now_ms: float
     ) -> float:
         """Return when a response loses all weight: at the deadline if late responses have a weight."""
@@ -142,7 +147,11 @@
         return min(now_ms + request_class.latency_objective_ms - spent_ms, deadline_at_ms)
 
     def _find_tenant(self, request: RequestReceived, plan: Plan, now_ms: float) -> Tenant | None:
-        """Return the tenant of a request, with its current quota window; None if the table is full."""
+        """Return the tenant of a request; None if the table is full.
+
+        If a new quota window has begun, this first decides on the requests that wait for a counter value of
+        the last one, and then starts the new one.
+        """
         tenant = self._tenants.find_or_create(request, plan, now_ms)
         if tenant is None:
             return None
@@ -157,35 +166,42 @@
 
     # Decision
 
-    def _decide(self, pending: PendingRequest, now_ms: float, *, is_admitted: bool) -> None:
+    def _decide(self, pending: PendingRequest, now_ms: float, *, is_already_admitted: bool) -> None:
         """Forward or reject a request.
 
         Args:
             pending: The request.
             now_ms: The current time.
-            is_admitted: Whether admission control has already admitted it.
+            is_already_admitted: Whether admission control has already admitted it.
         """
         violation = self._quota_violation(pending, now_ms)
-        reason = self._rejection_reason(pending, violation, now_ms, is_admitted=is_admitted)
+        reason = self._rejection_reason(pending, violation, now_ms, is_already_admitted=is_already_admitted)
         if reason is None:
-            reason = self._forward(pending, now_ms, is_over_quota=violation is not None)
+            reason = self._forward(pending, now_ms, exceeds_limit=violation is not None)
         if reason is not None:
-            self._reject_without_attempt(pending, reason, is_over_quota=violation is not None)
+            self._reject_without_attempt(pending, reason, exceeds_limit=violation is not None)
 
     def _rejection_reason(
-        self, pending: PendingRequest, violation: RejectReason | None, now_ms: float, *, is_admitted: bool
+        self,
+        pending: PendingRequest,
+        violation: RejectReason | None,
+        now_ms: float,
+        *,
+        is_already_admitted: bool,
     ) -> RejectReason | None:
         """Return why a request must not be forwarded (its quota, load shedding or ceiling), or None."""
         if violation is not None and not self._may_be_served_over_quota(pending.tenant.plan):
             return violation
-        if violation is None and not is_admitted and not self._is_admitted(pending):
+        # Requests that exceed a limit skip admission control: they are only served while the occupancy is
+        # well below that at which load shedding begins.
+        if violation is None and not is_already_admitted and not self._is_admitted(pending):
             return RejectReason.LOAD_SHED
         if not self._is_within_ceiling(pending, now_ms):
             return RejectReason.CEILING
         return None
 
     def _quota_violation(self, pending: PendingRequest, now_ms: float) -> RejectReason | None:
-        """Return which limit of its quota a request exceeds, or None."""
+        """Return which limit of its plan a request exceeds, concurrent requests or quota, or None."""
         tenant = pending.tenant
         if tenant.is_at_concurrency_limit():
             return RejectReason.CONCURRENCY_LIMIT
@@ -208,11 +224,11 @@
         tenant = pending.tenant
         return tenant.ceiling.admits(pending.units, tenant.quota.gateway_count, now_ms)
 
-    def _forward(self, pending: PendingRequest, now_ms: float, *, is_over_quota: bool) -> RejectReason | None:
+    def _forward(self, pending: PendingRequest, now_ms: float, *, exceeds_limit: bool) -> RejectReason | None:
         """Start the first attempt of an admitted request; return why that is impossible, or None."""
         pending.work_ms = self._latency.per_unit_ms(pending.class_name) * max(pending.units, 0.0)
         self._traffic.record_admitted(pending.work_ms)
-        if pending.objective_at_ms <= now_ms:
+        if pending.weight_ends_at_ms <= now_ms:
             return RejectReason.OBJECTIVE_PASSED
         endpoint = self._endpoint_selector.select(pending, now_ms)
         if endpoint is None:
@@ -223,7 +239,7 @@
         self._probe_budget.earn()
         tenant.ceiling.spend(pending.units)
         tenant.in_flight += 1
-        if not is_over_quota:
+        if not exceeds_limit:
             tenant.quota.spend(pending.units)
         self._usage_reporter.report(tenant, now_ms)
         self._attempt_flow.start(pending, endpoint, now_ms)
@@ -245,7 +261,7 @@
 
     def _decide_waiting(self, tenant: Tenant, now_ms: float) -> None:
         for pending in self._usage_reporter.take_waiting_requests(tenant):
-            self._decide(pending, now_ms, is_admitted=True)
+            self._decide(pending, now_ms, is_already_admitted=True)
 
     def record_client_disconnect(self, event: ClientDisconnected) -> None:
         """Finish a request whose client has disconnected."""
@@ -255,9 +271,12 @@
             self._attempt_flow.finish(pending)
 
     def _reject_without_attempt(
-        self, pending: PendingRequest, reason: RejectReason, *, is_over_quota: bool
+        self, pending: PendingRequest, reason: RejectReason, *, exceeds_limit: bool
     ) -> None:
-        """Reject a request without an attempt; over the quota, Retry-After covers the refill of its units."""
+        """Reject a request without an attempt.
+
+        If it exceeds a limit of its plan, Retry-After covers the refill of its units.
+        """
         rate = pending.tenant.plan.quota_rate
-        refill_ms = 1000 * pending.units / rate if is_over_quota and rate else 0.0
+        refill_ms = 1000 * pending.units / rate if exceeds_limit and rate else 0.0
         self._rejections.reject(pending.request_id, reason, refill_ms)
--- a/api_gateway/decisions/retry.py
+++ b/api_gateway/decisions/retry.py
@@ -20,7 +20,9 @@
 MIN_TIMEOUT_MS = 1.0
 MIN_EXPECTED_LATENCY_MS = 1e-6
 
-CONNECTION_FAILURES = frozenset(
+# Results of attempts that ended early. They show nothing about the load, and a retry costs only the fraction
+# of the request's work for which the attempt lasted.
+INTERRUPTED_RESULTS = frozenset(
     (
         AttemptResult.CONNECT_FAILED,
         AttemptResult.CONNECTION_RESET,
@@ -124,22 +126,26 @@
         )
 
     def _timeout_ms(self, pending: PendingRequest, now_ms: float) -> float:
-        """Return the time until a response loses all weight, or less while responses get lost."""
+        """Return the time until a response loses all weight, less a clock tick.
+
+        It is at least `MIN_TIMEOUT_MS`, unless the deadline is earlier. While responses get lost, it is
+        shorter if that leaves time for a retry.
+        """
         tick_ms = self._settings.clock_tick_ms
         timeout_ms = max(
-            pending.objective_at_ms - now_ms - tick_ms, min(MIN_TIMEOUT_MS, pending.deadline_at_ms - now_ms)
+            pending.weight_ends_at_ms - now_ms - tick_ms, min(MIN_TIMEOUT_MS, pending.deadline_at_ms - now_ms)
         )
         if (
             self._occupancy.lost_response_fraction <= MAX_LOST_RESPONSE_FRACTION
-            or not self._may_retry_next_attempt(pending)
+            or not self._may_retry_after_next_attempt(pending)
         ):
             return timeout_ms
         expected_latency_ms = self._expected_latency_ms(pending)
         short_timeout_ms = max(timeout_ms / 2, LOST_RESPONSE_LATENCY_MULTIPLE * expected_latency_ms)
         return short_timeout_ms if short_timeout_ms + expected_latency_ms < timeout_ms else timeout_ms
 
-    def _may_retry_next_attempt(self, pending: PendingRequest) -> bool:
-        """Whether the class, the retry budget and the limit on attempts allow a retry of the next attempt."""
+    def _may_retry_after_next_attempt(self, pending: PendingRequest) -> bool:
+        """Whether the class, the retry budget and the limit on attempts allow one more after the next."""
         return (
             pending.request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
             and self.budget.covers(1)
@@ -148,21 +154,21 @@
 
     def retry_cost(self, pending: PendingRequest, event: AttemptEnded) -> float:
         """Return the cost of a retry: the fraction of the request's work that the last attempt has used."""
-        if event.result not in CONNECTION_FAILURES:
+        if event.result not in INTERRUPTED_RESULTS:
             return 1.0
         return min(event.duration_ms / max(self._expected_latency_ms(pending), MIN_EXPECTED_LATENCY_MS), 1.0)
 
     def is_retry_worthwhile(self, pending: PendingRequest, cost: float, now_ms: float) -> bool:
         """Whether a retry is within the budget and can get a response in time."""
         needed_ms = max(self._expected_latency_ms(pending), 2 * self._settings.clock_tick_ms)
-        return self.budget.covers(cost) and pending.objective_at_ms - now_ms > needed_ms
+        return self.budget.covers(cost) and pending.weight_ends_at_ms - now_ms > needed_ms
 
     def _expected_latency_ms(self, pending: PendingRequest) -> float:
         return self._latency.expected_ms(pending.class_name, pending.units)
 
 
 def _is_in_key_scope(endpoint: EndpointState, attempt: Attempt, scope: KeyScope) -> bool:
-    """Whether an endpoint remembers the idempotency keys of an earlier attempt's endpoint."""
+    """Whether an endpoint remembers the idempotency key that an earlier attempt sent."""
     if scope is KeyScope.ALL:
         return True
     if attempt.endpoint.zone != endpoint.zone:
--- a/api_gateway/decisions/ring.py
+++ b/api_gateway/decisions/ring.py
@@ -16,7 +16,7 @@
 from collections.abc import Iterator
 from functools import lru_cache
 
-GOLDEN_RATIO = (5**0.5 - 1) / 2
+INVERSE_GOLDEN_RATIO = (5**0.5 - 1) / 2
 HASH_BITS = 64
 
 
@@ -33,7 +33,7 @@
     Returns:
         A position, 0 <= position < 1.
     """
-    stride = max(round(fleet_size * GOLDEN_RATIO), 1)
+    stride = max(round(fleet_size * INVERSE_GOLDEN_RATIO), 1)
     while math.gcd(stride, fleet_size) != 1:
         stride += 1
     return gateway_index * stride % fleet_size / fleet_size
--- a/api_gateway/decisions/selection.py
+++ b/api_gateway/decisions/selection.py
@@ -18,6 +18,8 @@
 RETRY_PENALTY = 4  # factor on the load score of an endpoint that the request has been sent to before
 # Latency is partly noise; with an exponent of 1 all gateways would select the same endpoint.
 LATENCY_EXPONENT = 0.5
+# The tie-break factor on the load score lies between 1.0 and 1.4; it falls by TIE_BREAK_WEIGHT for each visit
+# interval since the last attempt.
 TIE_BREAK_BASE = 1.3
 TIE_BREAK_WEIGHT = 0.1  # weight of the random term, and of each visit interval since the last attempt
 MAX_COUNTED_INTERVALS = 3.0  # visit intervals that count at most
@@ -57,14 +59,15 @@
     def select(self, pending: PendingRequest, now_ms: float) -> EndpointState | None:
         """Select the endpoint of a request's next attempt.
 
-        Takes the first that exists of:
+        Takes the first that exists of the following, of which the first two are limited by budgets:
 
         1. an endpoint in slow start that has budget for the request,
         2. an ejected endpoint that is due for a probe,
         3. the least loaded warm endpoint,
         4. for a retry, the least loaded endpoint in the failure domains of earlier attempts, which remember
            their idempotency keys,
-        5. the ejected endpoint that is due for a probe next.
+        5. as a last resort, the ejected endpoint whose backoff ends first, even during the backoff and
+           without probe budget.
 
         Returns:
             The endpoint, or None if no endpoint may be sent the request.
@@ -103,7 +106,7 @@
         for endpoint in self._subset.ejected:
             is_due = (
                 not endpoint.in_flight
-                and now_ms >= endpoint.ejected_until_ms
+                and now_ms >= endpoint.next_probe_at_ms
                 and endpoint not in tried_endpoints
             )
             if is_due and self._may_send(pending, endpoint, now_ms):
@@ -114,7 +117,10 @@
     def _endpoints_sharing_keys(
         self, pending: PendingRequest, tried_endpoints: list[EndpointState], now_ms: float
     ) -> list[EndpointState]:
-        """Return the endpoints in the failure domains of earlier attempts, whether or not in the subset."""
+        """Return the endpoints in the failure domains of earlier attempts, whether or not in the subset.
+
+        These are warm or have slow-start budget, and are not ejected.
+        """
         return [
             endpoint
             for earlier in tried_endpoints
@@ -131,7 +137,7 @@
             for endpoint in self._subset.ejected
             if endpoint not in tried_endpoints and self._may_send(pending, endpoint, now_ms)
         ]
-        return min(ejected, key=lambda endpoint: endpoint.ejected_until_ms, default=None)
+        return min(ejected, key=lambda endpoint: endpoint.next_probe_at_ms, default=None)
 
     def _may_send(self, pending: PendingRequest, endpoint: EndpointState, now_ms: float) -> bool:
         is_allowed = self._retry_policy.is_attempt_allowed(pending, endpoint, now_ms)
@@ -144,10 +150,10 @@
         endpoints: Iterable[EndpointState],
         now_ms: float,
     ) -> EndpointState | None:
-        """Select the least loaded of the given warm endpoints, preferring those without a recent attempt.
+        """Select the least loaded of the given endpoints that are not ejected.
 
-        The gateway's own zone is not preferred: if most traffic came from one zone, its endpoints would carry
-        nearly all of the load.
+        Those without a recent attempt are preferred. The gateway's own zone is not: if most traffic came from
+        one zone, its endpoints would carry nearly all of the load.
         """
         best: EndpointState | None = None
         best_score = 0.0
--- a/api_gateway/decisions/slow_start.py
+++ b/api_gateway/decisions/slow_start.py
@@ -60,7 +60,7 @@
         self._rng = rng
 
     def capacity_fraction(self, endpoint: EndpointState, now_ms: float) -> float:
-        """Return the fraction of its capacity that an endpoint has by now at least, from 0 to 1."""
+        """Return a lower bound of the fraction of its full capacity that an endpoint has now, from 0 to 1."""
         settings = self._settings
         age_ms = now_ms - endpoint.slow_start_began_at_ms
         if (
@@ -113,6 +113,8 @@
         rate *= fraction
         elapsed_ms = now_ms - max(endpoint.slow_start_budget_at_ms, endpoint.slow_start_began_at_ms)
         budget = endpoint.slow_start_budget + rate * elapsed_ms
+        # A saved budget may be used at once. Together with the refill, an endpoint thus gets up to about 1.5
+        # times the refill of an overload window in one such window.
         endpoint.slow_start_budget = min(budget, rate * self._settings.overload_window_ms / 2)
         endpoint.slow_start_budget_at_ms = now_ms
 
--- a/api_gateway/decisions/subset.py
+++ b/api_gateway/decisions/subset.py
@@ -24,7 +24,7 @@
 # are ejected.
 MAX_WALK_FACTOR = 8
 MAX_WALK_EXTRA = 64
-MAX_WARMING_UP_FACTOR = 2  # most endpoints in slow start, as a multiple of the target size
+MAX_WARMING_UP_FACTOR = 2  # maximum number of endpoints in slow start, as a multiple of the target size
 
 
 class EndpointSubset:
@@ -132,7 +132,10 @@
         return (self.warm + self.warm[:MAX_CANDIDATES])[start : start + MAX_CANDIDATES]
 
     def warming_up_candidates(self) -> list[EndpointState]:
-        """Return the endpoints in slow start to consider for one request, in rotation."""
+        """Return the endpoints in slow start to consider for one request, in rotation.
+
+        There must be at least one.
+        """
         count = len(self.warming_up)
         start = self._warming_up_start = (self._warming_up_start + 1) % count
         return [self.warming_up[(start + i) % count] for i in range(min(MAX_CANDIDATES, count))]
--- a/api_gateway/decisions/subset_sizing.py
+++ b/api_gateway/decisions/subset_sizing.py
@@ -6,8 +6,8 @@
 from api_gateway.decisions.traffic import MIN_RATE, TrafficRates
 from api_gateway.model.settings import Settings
 
-# Mean number of subsets that contain an endpoint, if each gateway visits the endpoints of its subset at least
-# once in SPARSE_VISIT_INTERVAL_MS.
+# The subsets are sized so that this many of them contain an endpoint on average, as far as the traffic of
+# each gateway suffices for a request to each endpoint of its subset in SPARSE_VISIT_INTERVAL_MS.
 TARGET_COVERAGE = 2.0
 SPARSE_VISIT_INTERVAL_MS = 1200.0
 GROWTH_FACTOR = 1.02  # factor on the scale of the subset at each sweep while overloaded
@@ -49,7 +49,8 @@
 
         Args:
             ring_size: Number of endpoints that are up.
-            is_overloaded: Whether load is shed, most endpoints are ejected, or many attempts are in flight.
+            is_overloaded: Whether load is shed, most endpoints are ejected, or there is more than one attempt
+                in flight for every two warm endpoints.
         """
         subset, attempt_rate = self._subset, self._traffic.attempt_rate
         if is_overloaded:
@@ -57,10 +58,12 @@
         else:
             self._scale = max(self._scale * SHRINK_FACTOR, 1.0)
         # With subsets smaller than a gateway's share of the ring, some endpoints would be in no subset.
-        coverage = min(
+        covering_size = min(
             TARGET_COVERAGE * ring_size / self._fleet_size, attempt_rate * SPARSE_VISIT_INTERVAL_MS
         )
-        subset.resize(max(MIN_SUBSET_SIZE, attempt_rate * TARGET_VISIT_INTERVAL_MS, coverage) * self._scale)
+        subset.resize(
+            max(MIN_SUBSET_SIZE, attempt_rate * TARGET_VISIT_INTERVAL_MS, covering_size) * self._scale
+        )
         visit_interval_ms = len(subset.warm) / max(attempt_rate, MIN_RATE)
         max_visit_interval_ms = MAX_VISIT_INTERVAL_FACTOR * TARGET_VISIT_INTERVAL_MS
         subset.visit_interval_ms = min(visit_interval_ms, max_visit_interval_ms) or TARGET_VISIT_INTERVAL_MS
--- a/api_gateway/decisions/tenants.py
+++ b/api_gateway/decisions/tenants.py
@@ -10,7 +10,7 @@
 from api_gateway.decisions.quota import QuotaConditions, TenantQuota, window_length_ms
 from api_gateway.decisions.traffic import RATE_TIME_CONSTANT_MS
 from api_gateway.decisions.uptime import Uptime
-from api_gateway.decisions.usage_report import UsageReport
+from api_gateway.decisions.usage_report import TenantCounterCalls
 from api_gateway.model.events import RequestReceived
 from api_gateway.model.settings import Plan, Settings
 
@@ -28,7 +28,7 @@
         plan: The plan.
         quota: Estimate of the remaining quota.
         ceiling: This gateway's share of the ceiling.
-        report: State of the counter calls.
+        counter_calls: Its counter calls: what was reported, and which requests wait.
         window_phase: Shift of the tenant's windows, as a fraction of a window from 0 to 1.
 
     Attributes:
@@ -42,14 +42,14 @@
         plan: Plan,
         quota: TenantQuota,
         ceiling: CeilingShare,
-        report: UsageReport,
+        counter_calls: TenantCounterCalls,
         window_phase: float,
     ) -> None:
         self.key = key
         self.plan = plan
         self.quota = quota
         self.ceiling = ceiling
-        self.report = report
+        self.counter_calls = counter_calls
         self.in_flight = 0
         self.last_request_at_ms = 0.0
         self._window_phase = window_phase
@@ -74,9 +74,10 @@
     def may_be_forgotten(self, now_ms: float) -> bool:
         """Return whether the tenant can be forgotten without a change in what it is allowed.
 
-        A new ceiling share starts empty, so that the current one must be full.
+        A new ceiling share holds the refill since the start of this gateway, so that a share that is not full
+        must not be replaced.
         """
-        is_unused = not self.in_flight and not self.report.waiting_requests
+        is_unused = not self.in_flight and not self.counter_calls.waiting_requests
         return is_unused and self.ceiling.is_full_after(now_ms - self.last_request_at_ms)
 
     def is_idle(self, now_ms: float) -> bool:
@@ -164,7 +165,7 @@
             plan=plan,
             quota=quota,
             ceiling=CeilingShare(plan, self._uptime.started_at_ms or 0.0),
-            report=UsageReport(quota, name_hash.hexdigest() + self._count_name_tags[plan.name]),
+            counter_calls=TenantCounterCalls(quota, name_hash.hexdigest() + self._count_name_tags[plan.name]),
             # Each tenant's windows have a phase of their own, so that counter calls are spread over time.
             window_phase=int.from_bytes(name_hash.digest()[:2], "big") / 65536,
         )
@@ -191,8 +192,9 @@
 def count_name_tags(plans: Iterable[Plan]) -> dict[str, str]:
     """Return a tag for the count names of each plan, which keeps counts of different plans apart.
 
-    Only plans that share their window length with another one need a tag; that of the others is empty. The
-    names must never change, since gateways of two versions use the same counts during a rollout.
+    Only plans that share their window length with another one need a tag, because windows of different
+    lengths have different numbers at the same time; the tag of other plans is empty. The names must never
+    change, since gateways of two versions use the same counts during a rollout.
 
     Args:
         plans: All plans, in the order of the settings.
--- a/api_gateway/decisions/traffic.py
+++ b/api_gateway/decisions/traffic.py
@@ -6,7 +6,8 @@
 
 # The rates of completions and of work on warm endpoints are smoothed with this time constant.
 RATE_TIME_CONSTANT_MS = 1000.0
-# The rates of attempts and of admitted work, which the size of the subset follows, have this time constant.
+# Time constant of the rate of attempts, which the size of the subset follows, and of the rate of admitted
+# work, which limits the slow-start budgets.
 ATTEMPT_RATE_TIME_CONSTANT_MS = 5000.0
 MIN_RATE = 1e-9
 
@@ -15,7 +16,8 @@
     """Exponentially smoothed rates. The unit of work is a millisecond of typical latency.
 
     Attributes:
-        completion_rate: Successful attempts per millisecond.
+        completion_rate: Completed attempts per millisecond: successful ones, and timeouts of classes that may
+            miss their objective even on idle endpoints.
         warm_work_rate: Work sent to a warm endpoint per millisecond, as the mean over the warm endpoints.
         attempt_rate: Attempts per millisecond.
         admitted_work_rate: Work admitted per millisecond, whether or not an endpoint was available for it.
@@ -33,20 +35,20 @@
         self._admitted_work = 0.0
 
     def record_completion(self) -> None:
-        """Record a successful attempt."""
+        """Record a completed attempt."""
         self._completions += 1
 
-    def record_admitted(self, work: float) -> None:
+    def record_admitted(self, work_ms: float) -> None:
         """Record the work of an admitted request."""
-        self._admitted_work += work
+        self._admitted_work += work_ms
 
     def record_attempt(self) -> None:
         """Record the start of an attempt."""
         self._attempts += 1
 
-    def record_warm_work(self, work: float) -> None:
+    def record_warm_work(self, work_ms: float) -> None:
         """Record work sent to a warm endpoint."""
-        self._warm_work += work
+        self._warm_work += work_ms
 
     def sweep_completions(self, elapsed_ms: float, uptime_ms: float) -> float:
         """Update the completion rate.
@@ -64,6 +66,7 @@
         time_constant_ms = max(
             RATE_TIME_CONSTANT_MS, 3 * MIN_RELIABLE_SAMPLES / max(self.completion_rate, MIN_RATE)
         )
+        # Until the gateway has run for the time constant, the rate is about the mean since the start.
         time_constant_ms = min(time_constant_ms, uptime_ms)
         decay_factor = time_constant_ms / (time_constant_ms + elapsed_ms)
         self.completion_rate = (
@@ -92,6 +95,7 @@
             elapsed_ms: Time since the last sweep, in milliseconds, above 0.
             uptime_ms: Time since the start of the gateway, in milliseconds.
         """
+        # As in `sweep_completions`, the rates are at first about the means since the start.
         time_constant_ms = min(ATTEMPT_RATE_TIME_CONSTANT_MS, uptime_ms)
         decay_factor = time_constant_ms / (time_constant_ms + elapsed_ms)
         self.attempt_rate = (
--- a/api_gateway/decisions/usage_report.py
+++ b/api_gateway/decisions/usage_report.py
@@ -7,8 +7,8 @@
 from api_gateway.decisions.quota import TenantQuota
 
 
-class UsageReport:
-    """Usage of one tenant as reported to the counter by this gateway.
+class TenantCounterCalls:
+    """Counter calls of one tenant: what was reported, and which requests wait.
 
     Args:
         quota: Quota of the tenant.
@@ -18,7 +18,8 @@
         count_name: Name of the count of the current window; empty before the first window.
         previous_count_name: Name of the count of the last window; empty before the first window.
         reported_usage: Units reported in the current window.
-        expired_refill: Units of refill that did not fit into the full bucket, added to the next report.
+        expired_refill: Units of refill that did not fit into the full bucket. They are added to the next
+            report, because gateways compute the remaining units as burst + refill - counter value.
         is_call_in_flight: Whether a counter call is in flight.
         last_call_at_ms: When the last counter call was made, in milliseconds.
         amount_in_call: Units that the last counter call adds to its count.
@@ -75,8 +76,9 @@
     def take_waiting_requests(self) -> list[PendingRequest]:
         """Remove and return the waiting requests, and update the query success fraction.
 
-        The fraction limits queries for a tenant that sends far more than its quota. Otherwise all gateways
-        would query the counter for each of its requests.
+        While calls are throttled, the fraction limits queries for a tenant that sends far more than its
+        quota. Otherwise all gateways would query the counter for each of its requests. It is at least
+        1 / gateway count, so that about one gateway of the tenant still queries the counter.
         """
         waiting_requests, self.waiting_requests = self.waiting_requests, []
         if waiting_requests:
--- a/api_gateway/decisions/usage_reporting.py
+++ b/api_gateway/decisions/usage_reporting.py
@@ -47,6 +47,8 @@
     def needs_counter_value(self, tenant: Tenant, units: float, now_ms: float) -> bool:
         """Decide by random draws whether a request has to wait for a counter value.
 
+        Until the window has a counter value, each request waits if a call may be made.
+
         Args:
             tenant: Tenant of the request.
             units: Size of the request.
@@ -57,7 +59,10 @@
         is_uncertain = tenant.quota.is_uncertain(units, now_ms)
         if tenant.quota.is_counter_value_unknown:
             return True
-        query_probability = max(tenant.report.query_success_fraction, self._counter_health.call_fraction)
+        # Queries that probably show too few remaining units are dropped only while calls are throttled.
+        query_probability = max(
+            tenant.counter_calls.query_success_fraction, self._counter_health.call_fraction
+        )
         return is_uncertain and self._rng.random() < query_probability
 
     def wait_for_counter_value(self, pending: PendingRequest, now_ms: float) -> None:
@@ -65,7 +70,7 @@
         tenant = pending.tenant
         self._waiting_requests[pending.request_id] = pending
         self._waiting_tenants[tenant] = None
-        tenant.report.waiting_requests.append(pending)
+        tenant.counter_calls.waiting_requests.append(pending)
         self.report(tenant, now_ms, reserved_units=pending.units)
 
     def report(
@@ -80,13 +85,13 @@
                 value; they are taken back if the request is rejected.
             is_forced: Whether to report even usage that is not due yet.
         """
-        report = tenant.report
-        usage = tenant.quota.local_usage - report.reported_usage + reserved_units
-        if not self._is_enabled or tenant.plan.quota_rate <= 0 or report.is_call_in_flight:
+        counter_calls = tenant.counter_calls
+        usage = tenant.quota.local_usage - counter_calls.reported_usage + reserved_units
+        if not self._is_enabled or tenant.plan.quota_rate <= 0 or counter_calls.is_call_in_flight:
             return
         is_due = self._is_report_due(tenant, usage, now_ms)
         if reserved_units or is_forced or (is_due and self._counter_health.may_call(now_ms)):
-            self._call(tenant, report.count_name, report.take_report_amount(usage), now_ms)
+            self._call(tenant, counter_calls.count_name, counter_calls.take_report_amount(usage), now_ms)
 
     @staticmethod
     def _is_report_due(tenant: Tenant, usage: float, now_ms: float) -> bool:
@@ -101,7 +106,7 @@
         return fleet_usage <= 0 or fleet_usage >= tenant.quota.refill(now_ms)
 
     def _call(self, tenant: Tenant, count_name: str, amount: float, now_ms: float) -> None:
-        tenant.report.start_call(amount, now_ms)
+        tenant.counter_calls.start_call(amount, now_ms)
         self._counter_health.record_call(now_ms)
         self._tenants_by_count[count_name] = tenant
         ttl_ms = min(2 * window_length_ms(tenant.plan), MAX_COUNT_TTL_MS)
@@ -116,26 +121,26 @@
         """
         self._counter_health.record_reply(reply.result, now_ms)
         tenant = self._tenants_by_count.get(reply.name)
-        if tenant is None or not tenant.report.is_call_in_flight:
+        if tenant is None or not tenant.counter_calls.is_call_in_flight:
             return None
-        report = tenant.report
-        report.is_call_in_flight = False
+        counter_calls = tenant.counter_calls
+        counter_calls.is_call_in_flight = False
         is_ok = reply.result is CounterResult.OK
-        if reply.name == report.previous_count_name:
+        if reply.name == counter_calls.previous_count_name:
             self._carry_over_debt(tenant, reply.counter_value if is_ok else 0.0, now_ms)
         elif is_ok:
             is_first_report = self._is_first_report_of_window(tenant, reply.counter_value)
-            tenant.quota.record_counter_value(reply.counter_value, report.reported_usage, now_ms)
+            tenant.quota.record_counter_value(reply.counter_value, counter_calls.reported_usage, now_ms)
             if is_first_report and self._query_previous_window(tenant, now_ms):
                 return None
         elif not reply.result.may_have_been_added:
-            report.undo_call()
+            counter_calls.undo_call()
         return tenant
 
     @staticmethod
     def _is_first_report_of_window(tenant: Tenant, counter_value: float) -> bool:
         """Return whether this gateway is the first to report in the current window."""
-        amount = tenant.report.amount_in_call
+        amount = tenant.counter_calls.amount_in_call
         return (
             tenant.quota.is_counter_value_unknown
             and amount > 0
@@ -151,20 +156,22 @@
         plan = tenant.plan
         refill = plan.quota_rate * (now_ms - tenant.quota.window_started_at_ms) / 1000
         if 2 * refill >= plan.quota_burst or not self._counter_health.may_call(now_ms):
-            tenant.report.expired_refill = refill
+            tenant.counter_calls.expired_refill = refill
             return False
-        self._call(tenant, tenant.report.previous_count_name, 0.0, now_ms)
+        self._call(tenant, tenant.counter_calls.previous_count_name, 0.0, now_ms)
         return True
 
     def _carry_over_debt(self, tenant: Tenant, previous_counter_value: float, now_ms: float) -> None:
-        debt, tenant.report.expired_refill = tenant.quota.carry_over_debt(previous_counter_value, now_ms)
+        debt, tenant.counter_calls.expired_refill = tenant.quota.carry_over_debt(
+            previous_counter_value, now_ms
+        )
         if debt:
             self.report(tenant, now_ms, is_forced=True)
 
     def take_waiting_requests(self, tenant: Tenant) -> list[PendingRequest]:
         """Remove and return the waiting requests of a tenant whose clients are still connected."""
         self._waiting_tenants.pop(tenant, None)
-        return [p for p in tenant.report.take_waiting_requests() if self.stop_waiting(p.request_id)]
+        return [p for p in tenant.counter_calls.take_waiting_requests() if self.stop_waiting(p.request_id)]
 
     def abandon_overdue_calls(self, timeout_ms: float, now_ms: float) -> list[Tenant]:
         """Abandon the calls that requests have waited for longer than a timeout.
@@ -176,9 +183,9 @@
         Returns:
             The tenants of these calls, whose requests can be decided on without a reply.
         """
-        overdue = [t for t in self._waiting_tenants if now_ms - t.report.last_call_at_ms > timeout_ms]
+        overdue = [t for t in self._waiting_tenants if now_ms - t.counter_calls.last_call_at_ms > timeout_ms]
         for tenant in overdue:
-            tenant.report.is_call_in_flight = False
+            tenant.counter_calls.is_call_in_flight = False
         return overdue
 
     def start_window(self, tenant: Tenant, window: int, started_at_ms: float) -> None:
@@ -193,11 +200,11 @@
         """
         is_next = window == tenant.quota.window + 1
         carries_over = self._counter_health.is_reliable and is_next
-        unreported_usage = tenant.report.unreported_usage if carries_over else 0.0
+        unreported_usage = tenant.counter_calls.unreported_usage if carries_over else 0.0
         tenant.quota.start_window(window, started_at_ms, unreported_usage)
-        tenant.report.start_window(window)
+        tenant.counter_calls.start_window(window)
 
     def forget_calls(self, tenant: Tenant) -> None:
         """Ignore further replies to the calls of a tenant's current and last window."""
-        self._tenants_by_count.pop(tenant.report.count_name, None)
-        self._tenants_by_count.pop(tenant.report.previous_count_name, None)
+        self._tenants_by_count.pop(tenant.counter_calls.count_name, None)
+        self._tenants_by_count.pop(tenant.counter_calls.previous_count_name, None)
--- a/tests/test_load_sampling.py
+++ b/tests/test_load_sampling.py
@@ -22,7 +22,7 @@
     driver = GatewayDriver()
     # The first samples of a gateway are averaged without smoothing.
     driver.gateway.admission.occupancy.sample_count = 100
-    driver.gateway.admission.occupancy.classes["read"].learned_baseline = 0.1
+    driver.gateway.admission.occupancy.class_latencies["read"].learned_baseline = 0.1
     weight = min(occupancy.MAX_INTERVAL_WEIGHT, 2 / occupancy.SMOOTHING_SAMPLES)
     for _ in range(2):
         request_id, _ = driver.send_request()
