--- a/tests/support/endpoint_simulation.py
+++ b/tests/support/endpoint_simulation.py
@@ -38,14 +38,14 @@
     Attributes:
         request_class: The class.
         mean_service_ms: Mean service time in milliseconds.
-        requests_per_s: Requests per second to each gateway.
+        requests_per_s_per_gateway: Requests per second to each gateway.
         distribution: Distribution of the service time.
         plan: Plan of all of these requests.
     """
 
     request_class: RequestClass
     mean_service_ms: float
-    requests_per_s: float
+    requests_per_s_per_gateway: float
     distribution: Distribution = Distribution.LOGNORMAL
     plan: Plan = OPEN_PLAN
 
@@ -149,7 +149,7 @@
         Returns:
             The simulation itself.
         """
-        weights = [load.requests_per_s for load in self._loads]
+        weights = [load.requests_per_s_per_gateway for load in self._loads]
         requests_per_ms = load_factor * sum(weights) * len(self._gateways) / 1000
         self._run_open_loop(
             seconds,
@@ -159,7 +159,7 @@
         return self
 
     def reset_counts(self) -> None:
-        """Set all counts to zero."""
+        """Set all counts to zero, and forget the attempts sent so far."""
         self.counts = {name: ClassCounts() for name in self.counts}
         self._sent.clear()
 
--- a/tests/support/fleet_simulation.py
+++ b/tests/support/fleet_simulation.py
@@ -31,7 +31,7 @@
     """Gateways that share endpoints.
 
     Attributes:
-        requests_per_s: Requests per second and endpoint.
+        requests_per_s_per_endpoint: Requests per second and endpoint.
         endpoints: Current endpoints by name.
         sent_at_ms: Simulated times of the attempts to each endpoint, in milliseconds.
     """
@@ -41,7 +41,7 @@
         *,
         gateways: int = 30,
         endpoints: int = 50,
-        requests_per_s: float = 15.0,
+        requests_per_s_per_endpoint: float = 15.0,
         overload_multiple: float = 1.2,
         slow_start_s: float = 10.0,
         traffic_share_shape: float = 0.0,
@@ -52,7 +52,7 @@
         Args:
             gateways: Number of gateways.
             endpoints: Number of endpoints.
-            requests_per_s: Requests per second and endpoint.
+            requests_per_s_per_endpoint: Requests per second and endpoint.
             overload_multiple: Multiple of its capacity beyond which an endpoint is overloaded.
             slow_start_s: Duration of the slow start, in seconds.
             traffic_share_shape: Shape of the gamma distribution of the gateways' shares of the traffic.
@@ -60,7 +60,7 @@
             seed: Seed of all random draws.
         """
         super().__init__(random.Random(seed), 1e9)
-        self.requests_per_s = requests_per_s
+        self.requests_per_s_per_endpoint = requests_per_s_per_endpoint
         self.sent_at_ms: defaultdict[str, list[float]] = defaultdict(list)
         self._seed = seed
         self._overload_multiple, self._slow_start_s = overload_multiple, slow_start_s
@@ -116,7 +116,7 @@
 
     def run(self, seconds: float) -> None:
         """Run the open-loop load for some simulated seconds."""
-        requests_per_ms = self.requests_per_s * len(self.endpoints) / 1000
+        requests_per_ms = self.requests_per_s_per_endpoint * len(self.endpoints) / 1000
         self._run_open_loop(seconds, requests_per_ms, self._send_request)
 
     def overloaded_endpoints(self) -> list[str]:
--- a/tests/test_acceptance_cold_endpoints.py
+++ b/tests/test_acceptance_cold_endpoints.py
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize(("gateways", "endpoints", "replaced_fraction", "restarted"), FLEETS)
-@pytest.mark.parametrize(("overload_multiple", "slow_start_s", "requests_per_s"), SLOW_STARTS)
+@pytest.mark.parametrize(("overload_multiple", "slow_start_s", "requests_per_s_per_endpoint"), SLOW_STARTS)
 def test_no_cold_endpoint_is_overloaded_by_the_sum_of_all_gateways(
     gateways: int,
     endpoints: int,
@@ -34,7 +34,7 @@
     restarted: str,
     overload_multiple: float,
     slow_start_s: float,
-    requests_per_s: float,
+    requests_per_s_per_endpoint: float,
 ) -> None:
     """Each gateway limits its own requests to a cold endpoint, which receives those of all gateways.
 
@@ -44,7 +44,7 @@
     simulation = FleetSimulation(
         gateways=gateways,
         endpoints=endpoints,
-        requests_per_s=requests_per_s,
+        requests_per_s_per_endpoint=requests_per_s_per_endpoint,
         overload_multiple=overload_multiple,
         slow_start_s=slow_start_s,
         traffic_share_shape=1.0,
@@ -62,7 +62,11 @@
     assert simulation.overloaded_endpoints() == []
     sent = sum(len(simulation.sent_at_ms[name]) for name in replaced)
     min_sent = (
-        0.2 * requests_per_s * slow_start_s * len(replaced) * min(replaced_fraction, 1 - replaced_fraction)
+        0.2
+        * requests_per_s_per_endpoint
+        * slow_start_s
+        * len(replaced)
+        * min(replaced_fraction, 1 - replaced_fraction)
     )
     assert sent > min_sent, "cold endpoints must not be left idle"
 
@@ -73,13 +77,15 @@
     Since few requests were sent to them until then, all gateways may prefer them and overload them together.
     """
     for seed in (1, 2, 3):
-        simulation = FleetSimulation(requests_per_s=15, overload_multiple=2.5, slow_start_s=5, seed=seed)
+        simulation = FleetSimulation(
+            requests_per_s_per_endpoint=15, overload_multiple=2.5, slow_start_s=5, seed=seed
+        )
         simulation.run(6)
         replaced = simulation.replace_endpoints(list(simulation.endpoints)[:5])
         warm_at = simulation.now_ms + 5000
         simulation.run(9)
         requests = simulation.received_per_s(warm_at, warm_at + 2000)
         mean = sum(requests[name] for name in replaced) / 5
-        assert max(requests[name] for name in replaced) < 2 * simulation.requests_per_s
-        assert mean < 1.5 * simulation.requests_per_s
-        assert mean > 0.5 * simulation.requests_per_s
+        assert max(requests[name] for name in replaced) < 2 * simulation.requests_per_s_per_endpoint
+        assert mean < 1.5 * simulation.requests_per_s_per_endpoint
+        assert mean > 0.5 * simulation.requests_per_s_per_endpoint
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -39,6 +39,7 @@
         driver.sweep(1)
         driver.end_attempt(in_flight_ids.pop(0), duration_ms=durations_ms[n % len(durations_ms)])
         in_flight_ids.append(driver.send_request()[0])
+        # If the request was shed, send further ones until one is admitted.
         if not any(
             isinstance(a, StartAttempt) and a.request_id == in_flight_ids[-1] for _, a in driver.action_log
         ):
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -24,7 +24,7 @@
 
 def single_class_load(
     service_time_ratio: float,
-    requests_per_s: float,
+    requests_per_s_per_gateway: float,
     distribution: Distribution = Distribution.LOGNORMAL,
     time_scale: float = 1.0,
 ) -> Load:
@@ -32,14 +32,16 @@
 
     Args:
         service_time_ratio: Ratio of the mean service time to the latency objective.
-        requests_per_s: Requests per second to each gateway.
+        requests_per_s_per_gateway: Requests per second to each gateway.
         distribution: Distribution of the service times.
         time_scale: Factor on the objective of 1 s and on the deadline of 4 s.
     """
     request_class = RequestClass(
         "read", latency_objective_ms=1000 * time_scale, deadline_ms=4000 * time_scale, priority_weight=3
     )
-    return Load(request_class, 1000 * time_scale * service_time_ratio, requests_per_s, distribution)
+    return Load(
+        request_class, 1000 * time_scale * service_time_ratio, requests_per_s_per_gateway, distribution
+    )
 
 
 def rejected_fraction_without_queueing(load: Load, seconds: float = 30.0) -> float:
@@ -49,13 +51,16 @@
     return sum(count.rejected for count in counts) / sum(count.received for count in counts)
 
 
-@pytest.mark.parametrize("requests_per_s", [5, 20, 80])
+@pytest.mark.parametrize("requests_per_s_per_gateway", [5, 20, 80])
 @pytest.mark.parametrize("service_time_ratio", [0.05, 0.2, 0.3, 0.4, 0.5])
 def test_idle_endpoints_cause_no_rejections_at_any_service_time(
-    service_time_ratio: float, requests_per_s: float
+    service_time_ratio: float, requests_per_s_per_gateway: float
 ) -> None:
     """Work that takes much of its objective even on idle endpoints must not be mistaken for overload."""
-    assert rejected_fraction_without_queueing(single_class_load(service_time_ratio, requests_per_s)) < 0.02
+    assert (
+        rejected_fraction_without_queueing(single_class_load(service_time_ratio, requests_per_s_per_gateway))
+        < 0.02
+    )
 
 
 @pytest.mark.parametrize("service_time_ratio", [0.3, 0.5])
@@ -76,7 +81,7 @@
     """Only the ratios of priority weights may matter, and not the order of the classes in the settings."""
 
     def served(loads: list[Load]) -> dict[str, int]:
-        ordered = sorted(loads, key=lambda load: load.requests_per_s)
+        ordered = sorted(loads, key=lambda load: load.requests_per_s_per_gateway)
         counts = EndpointSimulation(ordered, seed=1, **QUEUEING_ENDPOINTS).run(15).counts
         return {name: count.served_in_time for name, count in counts.items()}
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -111,7 +111,7 @@
     assert send_requests(driver, 3, plan="basic", gateway_count=1) == 0
 
 
-def test_one_request_of_another_gateway_in_the_first_counter_value_is_no_high_rate() -> None:
+def test_a_few_units_of_others_in_the_first_counter_value_are_not_taken_for_a_high_rate() -> None:
     """The first counter value covers the window from its start, not just a moment.
 
     Otherwise a few units of other gateways would look like a high rate, which leaves nothing to this gateway.
--- a/tests/test_request_flow.py
+++ b/tests/test_request_flow.py
@@ -223,7 +223,7 @@
 
 
 def test_rejections_carry_a_retry_after() -> None:
-    """Both without endpoints and after the last attempt, within `max_retry_after_ms`."""
+    """Rejections without endpoints and after the last attempt have one up to `max_retry_after_ms`."""
     driver = GatewayDriver(endpoints=0)
     (rejection,) = actions_of_type(driver.send_request()[1], RejectRequest)
     assert 0 < rejection.retry_after_ms <= 2000
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -40,6 +40,8 @@
         )
         if i % 10 == 9:
             driver.deliver(TimerFired("sweep"))
+    # `overload_multiple` is 3, and there are 4 warm endpoints. During these 2 s, the new endpoint has less
+    # than 0.4 of its capacity.
     assert attempts_to_warming_up <= slow_start.BUDGET_SAFETY_FACTOR * 3 * 0.4 * attempts / 4 + 1
 
 
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -49,7 +49,7 @@
         return False
 
 
-def test_a_full_update_keeps_the_subset_of_those_that_stay() -> None:
+def test_a_full_update_with_the_same_endpoints_keeps_the_subset() -> None:
     """Receiving the same list again must not change the subset; removed and draining endpoints leave it."""
     driver = GatewayDriver(endpoints=200, fleet_size=100)
     names_before = {state.name for state in driver.gateway.subset.refresh(driver.now_ms)}
@@ -74,7 +74,7 @@
     simulation = FleetSimulation(
         gateways=gateways,
         endpoints=endpoints,
-        requests_per_s=10,
+        requests_per_s_per_endpoint=10,
         traffic_share_shape=traffic_share_shape,
         seed=3,
     )
