--- a/api_gateway/__main__.py
+++ b/api_gateway/__main__.py
@@ -75,8 +75,9 @@
 
 async def _start_up(dispatcher: Dispatcher, listener: Listener, address: Address) -> None:
     dispatcher.start()
-    # Clients are not accepted before discovery has responded or its timeout has expired: by the endpoint list
-    # of the configuration alone, requests could go to endpoints that have started to drain since.
+    # Clients are not accepted before discovery has responded or the time to wait for it has passed: with only
+    # the endpoint list of the configuration, requests could go to endpoints that have started to drain in the
+    # meantime.
     await dispatcher.startup_complete.wait()
     try:
         host, port = listener.start(address)
--- a/api_gateway/configuration.py
+++ b/api_gateway/configuration.py
@@ -53,7 +53,8 @@
         settings: Settings of the decisions.
         cached_endpoints: Endpoint list to use until discovery responds; empty by default.
         connect_timeout_ms: Timeout for connecting to an endpoint; 250 by default.
-        idle_timeout_ms: Time after which endpoints close an idle connection; 15000 by default.
+        idle_timeout_ms: Time after which endpoints close an idle connection; 15000 by default. Read from the
+            same key as `Settings.idle_connection_timeout_ms`, which has another default.
         max_poll_interval_ms: Longest allowed interval between two polls of discovery, if it is polled; 10000
             by default.
     """
@@ -102,7 +103,7 @@
     settings = _parse_settings(values_by_path)
     counter = raw.get("counter")
     if settings.counter_enabled and not counter:
-        raise ConfigurationError("counter: is missing, though the settings allow calls")
+        raise ConfigurationError("counter: must be HOST:PORT, since the settings enable the counter")
     cached_endpoints = _parse_cached_endpoints(raw)
     listen = _parse_address(raw, "listen")
     discovery = _parse_address(raw, "discovery")
--- a/api_gateway/errors.py
+++ b/api_gateway/errors.py
@@ -37,8 +37,9 @@
     """The value of a key can be parsed but is not allowed.
 
     Attributes:
-        field: Path of the value in `Settings`, such as `classes[read].latency_objective_ms`. The last name is
-            the key if the value of an enum is unknown, such as `classes[read].effect`.
+        field: Path of the value in `Settings`, such as `classes[read].latency_objective_ms`. For an unknown
+            enum value, the path ends with the key that the operator wrote, not with the name of the field,
+            such as `classes[read].effect`.
     """
 
     def __init__(self, key: str, problem: str, field: str) -> None:
--- a/api_gateway/logs.py
+++ b/api_gateway/logs.py
@@ -1,6 +1,7 @@
 """Logging to standard error: one line for each event, at a limited rate.
 
-The message of a line starts with the name of the event, followed by its values as `key=value`.
+The message of a line starts with the name of the event, followed by its values as `key=value`. The exception
+is `listening on HOST:PORT`, which programs that start a gateway wait for.
 """
 
 from __future__ import annotations
--- a/api_gateway/settings_codec.py
+++ b/api_gateway/settings_codec.py
@@ -74,10 +74,12 @@
 
 
 def _parse_limit(text: str) -> float:
+    """Convert a text to a limit; 0 and `-` stand for no limit and give infinity."""
     return parse_number(text) or math.inf
 
 
 def _parse_flag(text: str) -> bool:
+    """Return whether a text is `true` or `1`; any other text gives False."""
     return text in ("true", "1")
 
 
