--- a/api_gateway/network/clock.py
+++ b/api_gateway/network/clock.py
@@ -6,13 +6,16 @@
 import time
 
 # After a stall, the event loop runs an overdue timer before it reads a response that arrived in time. So a
-# timeout takes effect this long after its timer has fired, which gives the loop one or two turns to read.
+# timeout takes effect this long after its timer has fired, which gives the loop one or two iterations to
+# read.
 TIMEOUT_READ_DELAY_S = 0.002
 
 LAG_CHECK_INTERVAL_S = 0.05
 
 # A delay below this is ordinary timer jitter and not regarded as lag.
 MIN_LAG_MS = 5.0
+
+# After a stall, the measured lag is kept for this long, in which the sockets are read.
 LAG_RESET_DELAY_S = 0.001
 
 
@@ -50,8 +53,9 @@
         Args:
             now: Current time in s of `time.monotonic`.
         """
-        # If the process was stopped while the loop polled the sockets, the loop reads them before it runs the
-        # overdue timer.
+        # A stall within a callback is followed by the overdue timer, which sets `_lag_ms`. If the process was
+        # stopped while the loop waited for its sockets, in contrast, the loop reads them before it runs the
+        # timer.
         overdue_ms = (now - self._due_at) * 1000
         return overdue_ms if overdue_ms > MIN_LAG_MS else self._lag_ms
 
--- a/api_gateway/network/counter.py
+++ b/api_gateway/network/counter.py
@@ -11,11 +11,11 @@
 from api_gateway.network.address import Address
 from api_gateway.network.counter_connection import CounterCall, CounterConnection
 
-# With several connections, a slow part of the counter delays only the calls that share a connection with
-# calls to that part.
+# With several connections, a slow partition of the counter delays only the calls that share a connection with
+# calls to that partition.
 CONNECTION_COUNT = 4
 
-# Serves the same purpose as clock.TIMEOUT_READ_DELAY_S, but gives the event loop one turn only.
+# Serves the same purpose as clock.TIMEOUT_READ_DELAY_S, but gives the event loop one iteration only.
 COUNTER_READ_DELAY_S = 0.001
 
 
@@ -56,7 +56,10 @@
             connection.stop()
 
     def change_address(self, address: Address) -> None:
-        """Use another counter for new calls; calls that were written finish on the old connections.
+        """Use another counter for new calls.
+
+        Calls that were written finish on the old connections; instead of their counter values,
+        MALFORMED_RESPONSE is reported.
 
         Args:
             address: Host and port of the new counter.
@@ -88,8 +91,8 @@
             self._report(call, CounterResult.CONNECT_FAILED)
 
     def _connection_load(self, connection: CounterConnection) -> int:
-        """Return the number of calls in flight, plus a penalty if the connection is not established."""
-        return connection.calls_in_flight + (0 if connection.is_connected else self._connection_count)
+        """Return the number of pending calls, plus a penalty if the connection is not established."""
+        return connection.pending_call_count + (0 if connection.is_connected else self._connection_count)
 
     def _report(self, call: CounterCall, result: CounterResult, counter_value: float = 0.0) -> None:
         if call.is_done:
@@ -114,10 +117,11 @@
         """Return whether the connection of a late call is silent while the counter responds on others.
 
         A network path or a proxy may fail for a single connection. If the calls on it were reported as timed
-        out, the counter would be considered down. A slow part of the counter, in contrast, delays calls on
-        more than one connection, and a counter that is down responds on none.
+        out, the counter would be considered down. A slow partition of the counter, in contrast, delays calls
+        on more than one connection, and a counter that is down responds on none.
         """
         others = [connection for connection in self._connections if connection is not call.connection]
+        # On another connection, a call counts as late when it has waited for half the timeout.
         late_before = self._loop.time() - self._timeout_s / 2
         return (
             call.connection.is_silent_since(call.started_at)
--- a/api_gateway/network/counter_codec.py
+++ b/api_gateway/network/counter_codec.py
@@ -24,5 +24,5 @@
 
 
 def _format_decimal(amount: float) -> str:
-    """Format a number without an exponent, which the counter does not accept."""
+    """Format a number with at most six decimals and no exponent, as the counter accepts no exponents."""
     return f"{amount:.6f}".rstrip("0").rstrip(".")
--- a/api_gateway/network/counter_connection.py
+++ b/api_gateway/network/counter_connection.py
@@ -1,4 +1,4 @@
-"""A persistent connection to the counter: its calls in flight, and its replacement when it ends."""
+"""A persistent connection to the counter: its pending calls, and its replacement when it ends."""
 
 from __future__ import annotations
 
@@ -94,15 +94,18 @@
         return self._protocol is not None
 
     @property
-    def calls_in_flight(self) -> int:
-        """Number of calls that wait for a response, or for the connection to be established."""
+    def pending_call_count(self) -> int:
+        """Number of calls that wait for the connection or for a response.
+
+        Calls that have timed out keep their place and count, too.
+        """
         return len(self._calls)
 
     def is_usable(self) -> bool:
         """Return whether a call may be written now, or wait for the connection to be established.
 
-        A connection that is closing is not usable: its end is reported in this turn of the event loop or the
-        next, and calls that are written to it until then fail.
+        A connection that is closing is not usable: its end is reported in this iteration of the event loop or
+        the next, and calls that are written to it until then fail.
         """
         if self._protocol is not None:
             return not self._protocol.transport.is_closing()
@@ -113,7 +116,11 @@
         return self._last_response_at < loop_time
 
     def has_call_started_before(self, loop_time: float) -> bool:
-        """Return whether a call made before `loop_time`, in s of event-loop time, is still in flight."""
+        """Return whether a call made before `loop_time` still waits for the connection or for a response.
+
+        Args:
+            loop_time: A time in s of event-loop time.
+        """
         return bool(self._calls) and self._calls[0].started_at < loop_time
 
     # --- Commands ------------------------------------------------------------------------------------------
@@ -166,7 +173,10 @@
         return unwritten
 
     def close_and_replace(self) -> None:
-        """Close and replace a connection on which responses have stopped."""
+        """Close and replace a connection on which responses have stopped, and report its calls.
+
+        The result is CONNECTION_LOST for calls that were written, and CONNECT_FAILED for the others.
+        """
         self._protocol.abort()
         self._fail_calls(CounterResult.CONNECTION_LOST)
 
--- a/api_gateway/network/discovery.py
+++ b/api_gateway/network/discovery.py
@@ -29,12 +29,13 @@
 
     The watch connects if there is no connection, sends a poll, waits for its response, and polls again at
     once. A failed poll is retried after a backoff with full jitter, so that gateways that fail together do
-    not retry at the same time. A watch that knows a list requests only its changes, even after a failure,
-    because sending full lists to a whole fleet at once would overload discovery.
+    not retry at the same time. A watch that knows a list requests only its changes, even after a failed
+    poll, because sending full lists to a whole fleet at once would overload discovery. Only a malformed list
+    or a new address makes it request the full list.
 
     While a long poll has no response, a lost response cannot be distinguished from the absence of changes. So
-    long polls are short, and the first poll after a failure does not wait for a change, which shows at once
-    whether discovery responds.
+    long polls are short, and the poll after a timeout does not wait for a change, which shows at once whether
+    discovery responds. For an agent, this also holds after a disconnect.
     """
 
     def __init__(
@@ -79,7 +80,11 @@
         return self._generation
 
     def start(self) -> None:
-        """Send the first poll, at once or after a random delay that spreads the polls of the fleet."""
+        """Send the first poll.
+
+        It is sent at once if no list is known or discovery is an agent, otherwise after a random delay that
+        spreads the polls of the fleet.
+        """
         if self._generation is None or self._policy.is_agent:
             self._poll()
         else:
@@ -214,7 +219,9 @@
         if connection is not self._connection:
             return
         self._connection = None
-        # A long poll returns missed changes, too, and is less load for a service than a poll without a wait.
+        # After a disconnect, an agent is polled without a wait, which shows at once whether it responds. A
+        # service may get a long poll again: it returns missed changes, too, and is less load for the service
+        # than a poll without a wait.
         self._is_up_to_date = self._is_up_to_date and not self._policy.is_agent
         self._back_off()
 
--- a/api_gateway/network/discovery_policy.py
+++ b/api_gateway/network/discovery_policy.py
@@ -34,7 +34,8 @@
 # a long poll leaves the queue of discovery before its wait begins.
 LONG_POLL_MARGIN_S = 0.6
 
-# The first poll after a failure does not wait for a change, so that a missing response is detected at once.
+# The first poll, a poll after a timeout and, for an agent, a poll after a disconnect do not wait for a
+# change, so that a missing response is detected at once.
 CATCH_UP_WAIT_MS = 1
 
 # Connect timeout of an agent, and the time for its response to a poll beyond the wait of the poll.
@@ -75,7 +76,8 @@
         """Return the policy of one gateway.
 
         The service also processes polls that have timed out at the gateway. If the whole fleet polled at
-        once, it would mostly process those. So the first polls are spread, but over at most MAX_POLL_CYCLE_S.
+        once, most of the polls that it processes would have timed out already. So the first polls are spread,
+        but over at most MAX_POLL_CYCLE_S.
 
         Args:
             settings: The settings of the gateway.
@@ -104,8 +106,8 @@
         """Return how long the next poll waits for a change, in ms.
 
         Args:
-            is_up_to_date: Whether the poll may wait for a change, because no poll has timed out since the
-                last response.
+            is_up_to_date: Whether the poll may wait for a change: discovery has responded, and since then no
+                poll has timed out and no connection to an agent was lost.
         """
         return LONG_POLL_WAIT_MS if is_up_to_date else CATCH_UP_WAIT_MS
 
--- a/api_gateway/network/dispatcher.py
+++ b/api_gateway/network/dispatcher.py
@@ -38,8 +38,9 @@
 
 log = logging.getLogger(__name__)
 
-# If discovery sends no endpoint list within this time after the start, requests are served with the endpoint
-# list of the configuration.
+# If discovery sends no endpoint list within this time after the start, the gateway is ready with the endpoint
+# list of the configuration, unless that is empty. If discovery is an agent, clients are not accepted before
+# its list has arrived or this time has passed.
 INITIAL_ENDPOINT_LIST_TIMEOUT_S = 1.0
 
 
@@ -164,7 +165,8 @@
         """Accept a request.
 
         Args:
-            client: Receives exactly one response, possibly before this method returns.
+            client: Receives exactly one response, possibly before this method returns. If the result is None,
+                it receives none, and the caller must respond.
             inbound: The request.
 
         Returns:
@@ -195,6 +197,7 @@
             draining={e.name for e in endpoints if e.status is not EndpointStatus.UP},
             started_at_ms={e.name: e.started_at_ms for e in endpoints},
         )
+        # An empty list of changes, which ends a long poll, is not passed to the decisions.
         if endpoints or kind is not UpdateKind.CHANGES:
             self._post_event(EndpointUpdate(kind, endpoints))
         self._pool.withdraw_pending_connects()  # after the decisions have received the list
--- a/api_gateway/network/downstream/connection.py
+++ b/api_gateway/network/downstream/connection.py
@@ -11,8 +11,8 @@
 
 from api_gateway.network.downstream.request_parsing import (
     KNOWN_HEADERS,
-    MAX_BODY_BYTES,
     MAX_HEADER_BYTES,
+    MAX_REQUEST_BODY_BYTES,
     BadRequestError,
     ParsedRequest,
 )
@@ -25,18 +25,18 @@
 READY_PATH = b"/ready"
 API_PATH_PREFIX = b"/api/"
 # A chunked body is longer on the wire than its data, since each chunk is preceded by a line with its size.
-MAX_REQUEST_WIRE_BYTES = MAX_HEADER_BYTES + 2 * MAX_BODY_BYTES
+MAX_REQUEST_WIRE_BYTES = MAX_HEADER_BYTES + 2 * MAX_REQUEST_BODY_BYTES
 # Requests that may be queued behind the one in flight.
 MAX_PIPELINED_REQUESTS = 16
 # If more input than this is discarded after the last response, the connection is aborted.
-MAX_LINGER_BYTES = 1024 * 1024
+MAX_DISCARDED_BYTES = 1024 * 1024
 # Time within which a request must be complete. It starts with the first byte or with the previous response,
 # whichever is later; for the first request of a connection, when the connection is opened.
 REQUEST_READ_TIMEOUT_S = 2.0
 # Time from a response to the first byte of the next request.
 IDLE_TIMEOUT_S = 4.0
 # Time from the last response until the connection is aborted, if the client does not close it.
-LINGER_TIMEOUT_S = 1.0
+DISCARD_TIMEOUT_S = 1.0
 # During shutdown, a new connection stays open for this long, since its first request may be in transit.
 FIRST_REQUEST_TRANSIT_S = 0.1
 
@@ -57,14 +57,14 @@
     Attributes:
         transport: The transport; None until the connection is made.
         has_responded: Whether at least one response has been written.
-        receiving_since_s: Time of the event loop in seconds at which the connection was opened, its last
+        receiving_since: Time of the event loop in seconds at which the connection was opened, its last
             response was written, or the request being read began, whichever came last. Timeouts run from it.
     """
 
     def __init__(self, listener: Listener) -> None:
         self.transport: asyncio.Transport | None = None
         self.has_responded = False
-        self.receiving_since_s = 0.0
+        self.receiving_since = 0.0
         self._listener = listener
         self._dispatcher = listener.dispatcher
         self._parser = httptools.HttpRequestParser(self)
@@ -91,7 +91,7 @@
         """Parse the data, and serve the requests that it completes."""
         self._received_bytes += len(data)
         if self._is_discarding_input:
-            if self._received_bytes > MAX_LINGER_BYTES:
+            if self._received_bytes > MAX_DISCARDED_BYTES:
                 self.transport.abort()
             return
         if self._partial_request is None and not self._is_awaiting_response and self.has_responded:
@@ -170,7 +170,7 @@
         """Append a fragment of the body.
 
         Raises:
-            BadRequestError: If the body is longer than `MAX_BODY_BYTES`.
+            BadRequestError: If the body is longer than `MAX_REQUEST_BODY_BYTES`.
         """
         self._partial_request.add_body(data)
 
@@ -178,7 +178,7 @@
         """Queue the complete request."""
         request = self._partial_request
         request.keep_alive = self._parser.should_keep_alive()
-        request.received_at_s = time.monotonic()
+        request.read_at = time.monotonic()
         self._partial_request = None
         self._received_bytes = 0
         self._queue.append(request)
@@ -202,7 +202,9 @@
             # Limits input that the parser consumes without a callback, such as an endless header line.
             is_reading_head = self._partial_request is not None and not self._partial_request.method
             if self._received_bytes > (MAX_HEADER_BYTES if is_reading_head else MAX_REQUEST_WIRE_BYTES):
-                self._reject(BadRequestError("request has too many bytes on the wire"))
+                self._reject(
+                    BadRequestError("request exceeds the limit on its header section or on its total size")
+                )
 
     def _reject(self, error: BadRequestError) -> None:
         """Queue an error behind the requests that precede it, and discard all further input."""
@@ -326,17 +328,17 @@
 
     # Timeouts, eviction and shutdown
 
-    def enforce_timeouts(self, now_s: float) -> None:
+    def enforce_timeouts(self, now: float) -> None:
         """Close the connection, or reject the request being read, if its timeout has expired.
 
         Must only be called while no response is awaited.
 
         Args:
-            now_s: Time of the event loop in seconds.
+            now: Time of the event loop in seconds.
         """
-        waited_s = now_s - self.receiving_since_s
+        waited_s = now - self.receiving_since
         if self._is_discarding_input:
-            if waited_s > LINGER_TIMEOUT_S:
+            if waited_s > DISCARD_TIMEOUT_S:
                 self.transport.abort()
         elif self._partial_request is not None and waited_s > REQUEST_READ_TIMEOUT_S:
             self._reject(BadRequestError("request was not complete within its timeout", 408))
@@ -368,12 +370,12 @@
         transport = self.transport
         return not (transport.is_closing() or transport.get_write_buffer_size() or has_unread_data(transport))
 
-    def close_if_idle(self, now_s: float) -> None:
+    def close_if_idle(self, now: float) -> None:
         """Close the connection if it is idle, unless its first request may still be in transit.
 
         Args:
-            now_s: Time of the event loop in seconds.
+            now: Time of the event loop in seconds.
         """
-        waited_s = now_s - self.receiving_since_s
+        waited_s = now - self.receiving_since
         if self.is_idle() and (self.has_responded or waited_s > FIRST_REQUEST_TRANSIT_S):
             self.transport.close()
--- a/api_gateway/network/downstream/listener.py
+++ b/api_gateway/network/downstream/listener.py
@@ -48,7 +48,7 @@
         self.validator = RequestValidator(dispatcher.settings)
         self.connections: set[DownstreamConnection] = set()
         self._max_connections = max_downstream_connections(max_descriptors)
-        # Ordered sets of the connections that await no response, in ascending order of `receiving_since_s`.
+        # Ordered sets of the connections that await no response, in ascending order of `receiving_since`.
         # Not all of them are idle: a connection may have read a part of a request.
         self._receiving_after_response: dict[DownstreamConnection, None] = {}
         self._receiving_first_request: dict[DownstreamConnection, None] = {}
@@ -84,8 +84,8 @@
         Closing the socket resets the connections in its backlog, so it stays open until all are accepted.
 
         Returns:
-            Whether the socket is closed. If not, the connection limit is reached and the call must be
-            repeated.
+            Whether the socket is closed. If not, because the connection limit is reached, accepting failed or
+            the backlog is not empty yet, the call must be repeated.
         """
         if self._socket is not None and self._accept(BACKLOG + 1):
             self._pause_accepting()
@@ -99,9 +99,9 @@
         Returns:
             Whether all connections are closed.
         """
-        now_s = self.loop.time()
+        now = self.loop.time()
         for connection in list(self.connections):
-            connection.close_if_idle(now_s)
+            connection.close_if_idle(now)
         return not self.connections and not self._accept_tasks
 
     # Called by the connections
@@ -113,7 +113,7 @@
 
     def connection_receiving(self, connection: DownstreamConnection) -> None:
         """Record that a connection awaits no response, and restart its timeouts."""
-        connection.receiving_since_s = self.loop.time()
+        connection.receiving_since = self.loop.time()
         if connection.has_responded:
             receiving = self._receiving_after_response
         else:
@@ -133,9 +133,9 @@
         self.connection_awaiting_response(connection)
         self._resume_accepting()
 
-    # Capacity
+    # Connection limit
 
-    def _ensure_capacity(self) -> bool:
+    def _ensure_connection_slot(self) -> bool:
         """Return whether one more connection may be accepted; evict a connection if that is necessary."""
         if len(self.connections) + len(self._accept_tasks) < self._max_connections:
             return True
@@ -161,7 +161,7 @@
     # Accepting
 
     def _resume_accepting(self) -> None:
-        if self._socket is not None and not self._is_accepting and self._ensure_capacity():
+        if self._socket is not None and not self._is_accepting and self._ensure_connection_slot():
             self._is_accepting = True
             self.loop.add_reader(self._socket, self._accept, MAX_ACCEPTS_PER_ITERATION)
 
@@ -173,7 +173,7 @@
     def _accept(self, max_accepts: int) -> bool:
         """Accept up to `max_accepts` connections; return whether the backlog was emptied."""
         for _ in range(max_accepts):
-            if not self._ensure_capacity():
+            if not self._ensure_connection_slot():
                 self._pause_accepting()
                 return False
             try:
@@ -209,7 +209,7 @@
     # Timeouts
 
     def _enforce_timeouts(self) -> None:
-        now_s = self.loop.time()
+        now = self.loop.time()
         for connection in (*self._receiving_after_response, *self._receiving_first_request):
-            connection.enforce_timeouts(now_s)
+            connection.enforce_timeouts(now)
         self.loop.call_later(TIMEOUT_CHECK_INTERVAL_S, self._enforce_timeouts)
--- a/api_gateway/network/downstream/request_parsing.py
+++ b/api_gateway/network/downstream/request_parsing.py
@@ -11,11 +11,11 @@
 from api_gateway.network.open_requests import InboundRequest
 
 MAX_HEADER_BYTES = 32 * 1024
-MAX_BODY_BYTES = 64 * 1024
+MAX_REQUEST_BODY_BYTES = 64 * 1024
 # The protocol defines a tenant as a number below 2**33, written as 16 hexadecimal digits.
 TENANT_ID_LIMIT = 2**33
 
-REQUEST_ID_HEADER = b"x-request-id"
+X_REQUEST_ID_HEADER = b"x-request-id"
 REQUEST_CLASS_HEADER = b"x-class"
 PLAN_HEADER = b"plan"
 DEADLINE_HEADER = b"x-deadline"
@@ -28,7 +28,7 @@
 EXPECT_HEADER = b"expect"
 KNOWN_HEADERS = frozenset(
     (
-        REQUEST_ID_HEADER,
+        X_REQUEST_ID_HEADER,
         REQUEST_CLASS_HEADER,
         PLAN_HEADER,
         DEADLINE_HEADER,
@@ -53,7 +53,7 @@
 class BadRequestError(GatewayError, ValueError):
     """A request is invalid. It is rejected, and its connection is closed after the response.
 
-    The text of the error is not sent to the client.
+    The text of the error is for developers: it is neither sent to the client nor logged.
 
     Attributes:
         status: Status code of the response.
@@ -77,7 +77,7 @@
         body: Fragments of the body, in order.
         body_bytes: Length of the body.
         keep_alive: Whether the connection persists after the response (RFC 9112 section 9.3).
-        received_at_s: Time at which the last byte was read, in seconds of `time.monotonic`.
+        read_at: Time at which the last byte was read, in seconds of `time.monotonic`.
     """
 
     __slots__ = (
@@ -89,7 +89,7 @@
         "keep_alive",
         "method",
         "path",
-        "received_at_s",
+        "read_at",
         "target",
     )
 
@@ -103,7 +103,7 @@
         self.body: list[bytes] = []
         self.body_bytes = 0
         self.keep_alive = True
-        self.received_at_s = 0.0
+        self.read_at = 0.0
 
     @property
     def expects_continue(self) -> bool:
@@ -114,11 +114,11 @@
         """Append a fragment of the body.
 
         Raises:
-            BadRequestError: If the body is longer than `MAX_BODY_BYTES`.
+            BadRequestError: If the body is longer than `MAX_REQUEST_BODY_BYTES`.
         """
         self.body_bytes += len(data)
-        if self.body_bytes > MAX_BODY_BYTES:
-            raise BadRequestError(f"body is longer than {MAX_BODY_BYTES} bytes", 413)
+        if self.body_bytes > MAX_REQUEST_BODY_BYTES:
+            raise BadRequestError(f"body is longer than {MAX_REQUEST_BODY_BYTES} bytes", 413)
         self.body.append(data)
 
     def check_framing(self) -> None:
@@ -128,7 +128,7 @@
         one of them (RFC 9112 section 11.2).
 
         Raises:
-            BadRequestError: If the length is ambiguous or above `MAX_BODY_BYTES`.
+            BadRequestError: If the length is ambiguous or above `MAX_REQUEST_BODY_BYTES`.
         """
         content_length = self.headers.get(CONTENT_LENGTH_HEADER)
         transfer_encoding = self.headers.get(TRANSFER_ENCODING_HEADER)
@@ -145,9 +145,9 @@
             return
         if not content_length.isdigit():
             raise BadRequestError(f"Content-Length: expected a decimal number, got {content_length!r}")
-        if int(content_length) > MAX_BODY_BYTES:
+        if int(content_length) > MAX_REQUEST_BODY_BYTES:
             raise BadRequestError(
-                f"Content-Length: expected at most {MAX_BODY_BYTES}, got {content_length!r}", 413
+                f"Content-Length: expected at most {MAX_REQUEST_BODY_BYTES}, got {content_length!r}", 413
             )
 
 
@@ -198,7 +198,7 @@
         remaining_ms = _parse_deadline(headers.get(DEADLINE_HEADER, b""))
         quota_info = self.parse_quota_info(headers.get(QUOTA_INFO_HEADER, b""))
         return InboundRequest(
-            x_request_id=headers.get(REQUEST_ID_HEADER, b""),
+            x_request_id=headers.get(X_REQUEST_ID_HEADER, b""),
             class_name=request_class.name,
             plan_name=plan_name,
             tenant=tenant,
@@ -207,7 +207,7 @@
             gateway_count=quota_info.gateway_count,
             first_gateway=quota_info.first_gateway,
             is_retry=headers.get(RETRY_HEADER) == b"1",
-            read_at=request.received_at_s,
+            read_at=request.read_at,
             head=_serialize_upstream_head(request, request_class),
             body=b"".join(request.body),
         )
@@ -255,7 +255,7 @@
 
 
 def _parse_deadline(value: bytes) -> float:
-    """Return the time in an X-Deadline header in milliseconds.
+    """Return the remaining time that an X-Deadline header gives, in milliseconds.
 
     Args:
         value: A number with its unit, milliseconds as in `250m` or microseconds as in `900u`.
@@ -279,17 +279,19 @@
             idempotency of its class.
     """
     headers = request.headers
-    request_id = headers.get(REQUEST_ID_HEADER, b"")
+    x_request_id = headers.get(X_REQUEST_ID_HEADER, b"")
     idempotency_key = headers.get(IDEMPOTENCY_KEY_HEADER)
-    if not _IDENTIFIER_PATTERN.fullmatch(request_id):
-        raise BadRequestError(f"X-Request-Id: expected 1 to 128 visible ASCII characters, got {request_id!r}")
+    if not _IDENTIFIER_PATTERN.fullmatch(x_request_id):
+        raise BadRequestError(
+            f"X-Request-Id: expected 1 to 128 visible ASCII characters, got {x_request_id!r}"
+        )
     if idempotency_key is not None and not _IDENTIFIER_PATTERN.fullmatch(idempotency_key):
         raise BadRequestError(
             f"Idempotency-Key: expected 1 to 128 visible ASCII characters, got {idempotency_key!r}"
         )
     _check_idempotency(request, request_class)
     parts = [request.method, b" ", request.target, b" HTTP/1.1\r\nHost: upstream\r\n"]
-    parts += (b"X-Request-Id: ", request_id, b"\r\n")
+    parts += (b"X-Request-Id: ", x_request_id, b"\r\n")
     if idempotency_key is not None:
         parts += (b"Idempotency-Key: ", idempotency_key, b"\r\n")
     if request.method == b"POST":
--- a/api_gateway/network/open_requests.py
+++ b/api_gateway/network/open_requests.py
@@ -44,7 +44,7 @@
         tenant: Id of the tenant whose quota it uses.
         remaining_ms: Time until the deadline, counted from when the client sent the request.
         units: Its size in quota units, as estimated by the client.
-        gateway_count: Number of gateways that receive the requests of its tenant.
+        gateway_count: Number of gateways over which the tenant's requests are distributed.
         first_gateway: Index of the first of these gateways.
         is_retry: Whether it is a retry by the client.
         read_at: When its last byte was read, in s of `time.monotonic`.
--- a/api_gateway/network/request_handler.py
+++ b/api_gateway/network/request_handler.py
@@ -77,7 +77,8 @@
         """Accept a request.
 
         Args:
-            client: Receives exactly one response, possibly before this method returns.
+            client: Receives exactly one response, possibly before this method returns. If the result is None,
+                it receives none, and the caller must respond.
             inbound: The request.
 
         Returns:
@@ -86,7 +87,8 @@
         """
         if self.requests.has_x_request_id(inbound.x_request_id):
             return None
-        # The deadline counts from when the client sent the request, not from when this process handles it.
+        # The deadline counts from when the client sent the request. So the time for which the request may
+        # have been unread (lag) and the time since it was read are subtracted.
         now = time.monotonic()
         queued_ms = (now - inbound.read_at) * 1000
         remaining_ms = inbound.remaining_ms - CLIENT_ROUND_TRIP_MS - self._lag.lag_ms(now) - queued_ms
@@ -170,6 +172,8 @@
     def _respond_with_timeout(self, request: OpenRequest) -> None:
         if request.client is not None:
             self.respond(request.request_id, 504)
+            # For the decisions, a request with a 504 response is closed like one whose client has
+            # disconnected.
             self._post_event(ClientDisconnected(request.request_id))
 
     def _close(self, request: OpenRequest) -> Client:
@@ -189,7 +193,11 @@
     # --- Attempts -----------------------------------------------------------------------------------------
 
     def start_attempt(self, action: StartAttempt) -> None:
-        """Send an attempt, unless no client waits, the deadline has passed or `max_attempts` is reached."""
+        """Send an attempt.
+
+        If no client waits, the deadline has passed or `max_attempts` is reached, post its result NOT_STARTED
+        instead.
+        """
         request = self.requests.get(action.request_id)
         number = len(request.attempts) if request is not None else 0
         remaining_s = request.deadline - time.monotonic() if request is not None else 0.0
--- a/api_gateway/network/response_parser.py
+++ b/api_gateway/network/response_parser.py
@@ -14,7 +14,7 @@
 
 from api_gateway.errors import GatewayError
 
-MAX_BODY_BYTES = 64 * 1024
+MAX_RESPONSE_BODY_BYTES = 64 * 1024
 MAX_ENDPOINT_LIST_BYTES = 4 * 1024 * 1024
 
 # Limit on the bytes of a response besides its body: headers, interim responses and chunk lines.
@@ -77,7 +77,7 @@
         has_unsent_data: Whether part of the written data has not left this process.
     """
 
-    def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
+    def __init__(self, max_body_bytes: int = MAX_RESPONSE_BODY_BYTES) -> None:
         self.transport: asyncio.Transport | None = None
         self.has_unsent_data = False
         self._parser = httptools.HttpResponseParser(self)
--- a/api_gateway/network/socket_state.py
+++ b/api_gateway/network/socket_state.py
@@ -1,7 +1,7 @@
 """State of a socket in the kernel, which the event loop may not have reported yet.
 
-The event loop reports received data and the end of a connection in a later turn, with more delay under load,
-and not at all while reading is paused. So sockets are polled before a write or a close, which cannot be
+The event loop reports received data and the end of a connection in a later iteration, with more delay under
+load, and not at all while reading is paused. So sockets are polled before a write or a close, which cannot be
 undone.
 """
 
--- a/api_gateway/network/upstream/attempt.py
+++ b/api_gateway/network/upstream/attempt.py
@@ -63,7 +63,7 @@
         return b"%bX-Deadline: %dm\r\n\r\n%b" % (self.head, remaining_ms, self.body)
 
     def has_unsent_bytes(self) -> bool:
-        """Return whether part of it has not left this process, so that the endpoint cannot have run it."""
+        """Return whether part of the request has not left this process, so that it cannot have run."""
         return self.connection is None or self.connection.has_unsent_data
 
     def abort(self) -> None:
--- a/api_gateway/network/upstream/connection.py
+++ b/api_gateway/network/upstream/connection.py
@@ -43,8 +43,9 @@
     def is_reusable(self) -> bool:
         """Return whether the connection is open and has no unread data.
 
-        Unread data would be parsed as the response to the next request. If the end of the connection is
-        unread, a request that is written now fails, and it is unknown whether it has run.
+        Unread data would be parsed as the response to the next request. If the endpoint has closed the
+        connection and this has not been read yet, a request that is written now fails, and it is unknown
+        whether it has run.
         """
         return not self.transport.is_closing() and not self._socket_poll.poll(0)
 
--- a/api_gateway/network/upstream/pool.py
+++ b/api_gateway/network/upstream/pool.py
@@ -15,6 +15,7 @@
 from api_gateway.network.upstream.connection import UpstreamConnection
 from api_gateway.network.upstream.endpoint import UpstreamEndpoint
 
+# Limit on the pending connects to all endpoints; an attempt that would need one more ends with LOCAL_LIMIT.
 MAX_PENDING_CONNECTS = 64
 
 # A connection is reused only after it has been idle for this long, so that stray bytes after its last
@@ -138,7 +139,7 @@
             self._end(attempt, AttemptResult.WITHDRAWN)
             return
         attempt.response_timer = self._loop.call_later(
-            max(attempt.deadline - now, 0.0), self._deadline_reached, attempt
+            max(attempt.deadline - now, 0.0), self._on_response_timeout, attempt
         )
         connection = endpoint.pop_reusable_connection(self._loop.time() - MIN_IDLE_BEFORE_REUSE_S)
         if connection is not None:
@@ -167,11 +168,13 @@
                 max(attempt.write_deadline - time.monotonic(), 0.0), self.withdraw, attempt
             )
 
-    def _deadline_reached(self, attempt: Attempt) -> None:
+    def _on_response_timeout(self, attempt: Attempt) -> None:
         # After a stall of the event loop, the response may have arrived and be unread.
-        attempt.response_timer = self._loop.call_later(TIMEOUT_READ_DELAY_S, self._time_out, attempt)
+        attempt.response_timer = self._loop.call_later(
+            TIMEOUT_READ_DELAY_S, self._on_response_read_delay_elapsed, attempt
+        )
 
-    def _time_out(self, attempt: Attempt) -> None:
+    def _on_response_read_delay_elapsed(self, attempt: Attempt) -> None:
         if attempt.connection is None:
             result = AttemptResult.CONNECT_FAILED
         elif attempt.has_unsent_bytes():
@@ -205,7 +208,7 @@
         )
         attempt.connect_task.add_done_callback(partial(self._connect_ended, attempt))
         attempt.connect_timer = self._loop.call_later(
-            self._connect_timeout_s, self._connect_deadline_reached, attempt
+            self._connect_timeout_s, self._on_connect_timeout, attempt
         )
         self._start_write_timer(attempt)
 
@@ -260,10 +263,13 @@
             and not self._close_if_abandoned(attempt)
         )
 
-    def _connect_deadline_reached(self, attempt: Attempt) -> None:
-        attempt.connect_timer = self._loop.call_later(TIMEOUT_READ_DELAY_S, self._connect_timed_out, attempt)
+    def _on_connect_timeout(self, attempt: Attempt) -> None:
+        # After a stall of the event loop, the connection may be established without having been reported.
+        attempt.connect_timer = self._loop.call_later(
+            TIMEOUT_READ_DELAY_S, self._on_connect_read_delay_elapsed, attempt
+        )
 
-    def _connect_timed_out(self, attempt: Attempt) -> None:
+    def _on_connect_read_delay_elapsed(self, attempt: Attempt) -> None:
         if attempt.connect_task is not None:
             self._abort(attempt, AttemptResult.CONNECT_FAILED)
 
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -157,7 +157,7 @@
     assert await running.read(oldest) and await running.read(second)
     running.listener._max_connections = 2
     oldest.sendall(request_bytes(x_request_id=b"c"))
-    assert running.listener._ensure_capacity()  # makes room for a third client
+    assert running.listener._ensure_connection_slot()  # makes room for a third client
     assert await running.is_served(oldest)
     assert await running.is_closed(second)
 
--- a/tests/test_request_parsing.py
+++ b/tests/test_request_parsing.py
@@ -7,7 +7,7 @@
 
 from api_gateway.network.dispatcher import InboundRequest
 from api_gateway.network.downstream.request_parsing import (
-    MAX_BODY_BYTES,
+    MAX_REQUEST_BODY_BYTES,
     BadRequestError,
     ParsedRequest,
     RequestValidator,
@@ -46,7 +46,7 @@
 
 def test_get_is_converted() -> None:
     request = parsed_request(b"read", b"GET", x_retry=b"1")
-    request.received_at_s = 17.0
+    request.read_at = 17.0
     assert validate(request) == InboundRequest(
         x_request_id=b"id-1",
         class_name="read",
@@ -110,7 +110,7 @@
         ({b"content-length": b"1_0"}, 400),
         ({b"content-length": b"1", b"transfer-encoding": b"chunked"}, 400),
         ({b"transfer-encoding": b"gzip, chunked"}, 400),
-        ({b"content-length": b"%d" % (MAX_BODY_BYTES + 1)}, 413),
+        ({b"content-length": b"%d" % (MAX_REQUEST_BODY_BYTES + 1)}, 413),
     ],
 )
 def test_ambiguous_or_too_long_framing_is_rejected(headers: dict[bytes, bytes], status: int) -> None:
@@ -123,7 +123,7 @@
 
 @pytest.mark.parametrize(
     "headers",
-    [{}, {b"content-length": b"%d" % MAX_BODY_BYTES}, {b"transfer-encoding": b" Chunked "}],
+    [{}, {b"content-length": b"%d" % MAX_REQUEST_BODY_BYTES}, {b"transfer-encoding": b" Chunked "}],
 )
 def test_unambiguous_framing_is_accepted(headers: dict[bytes, bytes]) -> None:
     request = ParsedRequest()
@@ -133,7 +133,7 @@
 
 def test_body_is_bounded_however_it_arrives() -> None:
     request = ParsedRequest()
-    request.add_body(b"x" * MAX_BODY_BYTES)
+    request.add_body(b"x" * MAX_REQUEST_BODY_BYTES)
     with pytest.raises(BadRequestError) as raised:
         request.add_body(b"x")
     assert raised.value.status == 413
