--- a/api_gateway/simulator/action_codec.py
+++ b/api_gateway/simulator/action_codec.py
@@ -18,36 +18,36 @@
 )
 
 
-def _encode_start_attempt(instance: str, action: StartAttempt) -> str:
-    return f"DELIVER {instance} {action.request_id} {action.timeout_ms:.3f} {action.endpoint}"
+def _encode_start_attempt(gateway_name: str, action: StartAttempt) -> str:
+    return f"DELIVER {gateway_name} {action.request_id} {action.timeout_ms:.3f} {action.endpoint}"
 
 
-def _encode_reject_request(instance: str, action: RejectRequest) -> str:
-    return f"REFUSE {instance} {action.request_id} {action.retry_after_ms:.3f}"
+def _encode_reject_request(gateway_name: str, action: RejectRequest) -> str:
+    return f"REFUSE {gateway_name} {action.request_id} {action.retry_after_ms:.3f}"
 
 
-def _encode_fail_request(instance: str, action: FailRequest) -> str:
-    return f"GIVE_UP {instance} {action.request_id}"
+def _encode_fail_request(gateway_name: str, action: FailRequest) -> str:
+    return f"GIVE_UP {gateway_name} {action.request_id}"
 
 
-def _encode_cancel_attempt(instance: str, action: CancelAttempt) -> str:
-    return f"UNDO_SEND {instance} {action.request_id} {action.attempt}"
+def _encode_cancel_attempt(gateway_name: str, action: CancelAttempt) -> str:
+    return f"UNDO_SEND {gateway_name} {action.request_id} {action.attempt}"
 
 
-def _encode_start_timer(instance: str, action: StartTimer) -> str:
-    return f"AFTER {instance} {action.delay_ms:.3f} {action.name}"
+def _encode_start_timer(gateway_name: str, action: StartTimer) -> str:
+    return f"AFTER {gateway_name} {action.delay_ms:.3f} {action.name}"
 
 
-def _encode_increment_counter(instance: str, action: IncrementCounter) -> str:
-    return f"ADD {instance} {action.name} {action.amount:g} {action.ttl_ms:.3f}"
+def _encode_increment_counter(gateway_name: str, action: IncrementCounter) -> str:
+    return f"ADD {gateway_name} {action.name} {action.amount:g} {action.ttl_ms:.3f}"
 
 
-def _encode_subscribe(instance: str, action: SubscribeToEndpoints) -> str:
-    return f"OBSERVE {instance} 1"
+def _encode_subscribe(gateway_name: str, action: SubscribeToEndpoints) -> str:
+    return f"OBSERVE {gateway_name} 1"
 
 
-def _encode_write_log(instance: str, action: WriteLog) -> str:
-    return f"NOTE_DOWN {instance} {' '.join(action.text.split())}"
+def _encode_write_log(gateway_name: str, action: WriteLog) -> str:
+    return f"NOTE_DOWN {gateway_name} {' '.join(action.text.split())}"
 
 
 ACTION_ENCODERS: dict[type, Callable[[str, Any], str]] = {
@@ -62,8 +62,8 @@
 }
 
 
-def encode_action(instance: str, action: Action) -> str:
-    """Return the line for an action of an instance.
+def encode_action(gateway_name: str, action: Action) -> str:
+    """Return the line for an action of a gateway.
 
     Raises:
         TypeError: The object is not an action.
@@ -71,9 +71,9 @@
     encoder = ACTION_ENCODERS.get(type(action))
     if encoder is None:
         raise TypeError(f"not an action: {action!r}")
-    return encoder(instance, action)
+    return encoder(gateway_name, action)
 
 
-def encode_failure(instance: str, error_name: str, text: str) -> str:
-    """Return the line that reports an error in one instance."""
-    return f"BROKEN {instance} {error_name}: {text}"
+def encode_failure(gateway_name: str, error_name: str, text: str) -> str:
+    """Return the line that reports an error in one gateway."""
+    return f"BROKEN {gateway_name} {error_name}: {text}"
--- a/api_gateway/simulator/adapter.py
+++ b/api_gateway/simulator/adapter.py
@@ -1,7 +1,7 @@
-"""Runs gateway instances for a simulator that is connected to standard input and output.
+"""Runs gateways for a simulator that is connected to standard input and output.
 
 The simulator sends batches of events, all events of a batch with the same time. The response to a batch has
-one line for each action of an instance, a `BROKEN` line for each event whose handling failed, and the line
+one line for each action of a gateway, a `BROKEN` line for each event whose handling failed, and the line
 `OK`.
 """
 
@@ -28,7 +28,7 @@
 
 
 class SimulatorAdapter:
-    """Reads batches of events, passes each event to its instance, and writes the resulting actions.
+    """Reads batches of events, passes each event to its gateway, and writes the resulting actions.
 
     Attributes:
         line_number: Number of the last line read; the first line is 1.
@@ -87,15 +87,17 @@
         try:
             message = codec.decode_message(parts)
         except InvalidSettingError as error:
+            # Reported like a value out of range, for which `Settings.check` raises a ValueError with the same
+            # form of text.
             return [encode_failure(parts[1], ValueError.__name__, f"{error.field}: {error.problem}")]
         if isinstance(message, codec.CatalogUpdate):
             message = self._resolve_catalog(message)
-        instance = parts[1]
+        gateway_name = parts[1]
         try:
-            return self._dispatch(now_ms, instance, message)
-        except Exception as error:  # an error in the decisions of one instance must not stop the others
+            return self._dispatch(now_ms, gateway_name, message)
+        except Exception as error:  # an error in the decisions of one gateway must not stop the others
             text = " ".join(str(error).split())
-            return [encode_failure(instance, type(error).__name__, text)]
+            return [encode_failure(gateway_name, type(error).__name__, text)]
 
     def _resolve_catalog(self, update: codec.CatalogUpdate) -> EndpointUpdate:
         if update.catalog is None:
@@ -105,18 +107,19 @@
         return EndpointUpdate(update.kind, self._catalogs[update.catalog])
 
     def _dispatch(
-        self, now_ms: float, instance: str, message: Event | codec.OpenInstance | codec.CloseInstance
+        self, now_ms: float, gateway_name: str, message: Event | codec.OpenGateway | codec.CloseGateway
     ) -> list[str]:
-        if isinstance(message, codec.OpenInstance):
-            self._gateways[instance] = Gateway(message.settings, message.seed)
+        if isinstance(message, codec.OpenGateway):
+            self._gateways[gateway_name] = Gateway(message.settings, message.seed)
             return []
-        if isinstance(message, codec.CloseInstance):
-            self._gateways.pop(instance, None)
+        if isinstance(message, codec.CloseGateway):
+            self._gateways.pop(gateway_name, None)
             return []
-        gateway = self._gateways.get(instance)
+        gateway = self._gateways.get(gateway_name)
+        # An event for a gateway that is not open, such as one that was closed, is ignored.
         if gateway is None:
             return []
-        return [encode_action(instance, action) for action in gateway.handle(now_ms, message)]
+        return [encode_action(gateway_name, action) for action in gateway.handle(now_ms, message)]
 
 
 def main() -> int:
--- a/api_gateway/simulator/codec.py
+++ b/api_gateway/simulator/codec.py
@@ -1,7 +1,7 @@
 """Decoding of the simulator's input lines: events, the start and end of gateways, and endpoint lists.
 
-A line consists of parts separated by single spaces: the name of the message, the instance (the gateway) that
-it is for, and its values. `-` stands for an absent value.
+A line consists of parts separated by single spaces: the name of the message, the name of the gateway that it
+is for, and its values. `-` stands for an absent value.
 """
 
 from __future__ import annotations
@@ -39,20 +39,20 @@
 RETRY_FLAG = 2  # bit of the flags of a request that is set if the client has sent the request before
 
 
-class OpenInstance(NamedTuple):
-    """Start of a new gateway instance, or restart of an existing one.
+class OpenGateway(NamedTuple):
+    """Start of a new gateway, or restart of an existing one.
 
     Attributes:
-        seed: Seed of the random draws of the instance.
-        settings: Settings of the instance.
+        seed: Seed of the random draws of the gateway.
+        settings: Settings of the gateway.
     """
 
     seed: int
     settings: Settings
 
 
-class CloseInstance:
-    """End of a gateway instance, without a shutdown."""
+class CloseGateway:
+    """End of a gateway, without a shutdown."""
 
 
 class CatalogUpdate(NamedTuple):
@@ -79,10 +79,10 @@
     entry_count: int
 
 
-Message = Event | OpenInstance | CloseInstance | CatalogUpdate
+Message = Event | OpenGateway | CloseGateway | CatalogUpdate
 
 
-# --- Messages for one instance -----------------------------------------------------------------------------
+# --- Messages for one gateway ------------------------------------------------------------------------------
 
 
 def _decode_setting_pairs(pairs: list[str]) -> Settings:
@@ -98,13 +98,13 @@
         raise MalformedLineError(str(error)) from None
 
 
-def _decode_open_instance(values: list[str]) -> OpenInstance:
+def _decode_open_gateway(values: list[str]) -> OpenGateway:
     seed, *pairs = values
-    return OpenInstance(decode_integer(seed), _decode_setting_pairs(pairs))
+    return OpenGateway(decode_integer(seed), _decode_setting_pairs(pairs))
 
 
-def _decode_close_instance(values: list[str]) -> CloseInstance:
-    return CloseInstance()
+def _decode_close_gateway(values: list[str]) -> CloseGateway:
+    return CloseGateway()
 
 
 def _decode_request_received(values: list[str]) -> RequestReceived:
@@ -193,8 +193,8 @@
 
 
 MESSAGE_DECODERS: dict[str, _MessageDecoder] = {
-    "OPEN_INSTANCE": _MessageDecoder(_decode_open_instance, None),
-    "DETACH": _MessageDecoder(_decode_close_instance, 0),
+    "OPEN_INSTANCE": _MessageDecoder(_decode_open_gateway, None),
+    "DETACH": _MessageDecoder(_decode_close_gateway, 0),
     "DIRECTORY_UPDATE": _MessageDecoder(_decode_catalog_update, 3),
     "REQ": _MessageDecoder(_decode_request_received, 9),
     "ENDED": _MessageDecoder(_decode_attempt_ended, 9),
@@ -208,14 +208,14 @@
 
 
 def decode_message(parts: list[str]) -> Message:
-    """Convert the parts of a line that is for one instance.
+    """Convert the parts of a line that is for one gateway.
 
     Args:
-        parts: Name of the message, the instance, and the values.
+        parts: Name of the message, name of the gateway, and the values.
 
     Raises:
         MalformedLineError: The line does not follow the format.
-        InvalidSettingError: A setting of a new instance is not one of the values of its enum.
+        InvalidSettingError: A setting of a new gateway is not one of the values of its enum.
     """
     name, values = parts[0], parts[2:]
     decoder = MESSAGE_DECODERS.get(name)
@@ -224,14 +224,14 @@
     is_complete = bool(values) if decoder.value_count is None else len(values) == decoder.value_count
     if len(parts) < 2 or not is_complete:
         raise MalformedLineError(
-            f"{name}: expected an instance and "
+            f"{name}: expected the name of a gateway and "
             f"{'at least 1' if decoder.value_count is None else decoder.value_count} values, "
             f"got {len(parts) - 1} parts in total"
         )
     return decoder.decode(values)
 
 
-# --- Lines for all instances -------------------------------------------------------------------------------
+# --- Lines for all gateways --------------------------------------------------------------------------------
 
 
 def decode_batch_header(parts: list[str]) -> float:
