--- a/testbed/cli.py
+++ b/testbed/cli.py
@@ -53,7 +53,11 @@
     help="Number of real gateway processes, started by the deploy file's run command.",
 )
 @click.option(
-    "--hosts", "endpoints", type=click.IntRange(36, 50_000), help="Size of the largest endpoint list."
+    "--hosts",
+    "endpoints",
+    # With 36 endpoints, the smallest list of an experiment, a ninth of the largest, has plan.MIN_ENDPOINTS.
+    type=click.IntRange(36, 50_000),
+    help="Size of the largest endpoint list.",
 )
 @click.option(
     "--customers",
@@ -92,7 +96,7 @@
     "--turned-away",
     "counter_rejected_fraction",
     type=click.FloatRange(0.0, 1.0),
-    help="Fraction of the counter's calls to reject while quotas are measured.",
+    help="Fraction of the calls to the counter to reject while quotas are measured.",
 )
 @click.option(
     "--asked",
--- a/testbed/counter_server.py
+++ b/testbed/counter_server.py
@@ -89,8 +89,8 @@
         Args:
             calls_per_s: Calls per second that all partitions together process.
             partitions: Number of partitions.
-            max_queue_delay_s: Longest time that a call may wait and be processed, in seconds; a call that
-                would take longer is rejected.
+            max_queue_delay_s: Longest time from the arrival of a call to the end of its processing, in
+                seconds; a call that would take longer is rejected.
             rejected_fraction: Fraction of the calls to reject at random, in addition to those that would wait
                 too long.
             seed: Seed of the random generator.
--- a/testbed/discovery_server.py
+++ b/testbed/discovery_server.py
@@ -30,7 +30,7 @@
         instanceId: Unique id of the endpoint.
         hostPort: Address as HOST:PORT.
         zone: Zone of the endpoint.
-        cell: Number of the endpoint's cell.
+        cell: Number of the endpoint's failure domain.
         lifecycle: "ready", "draining" or "gone".
         weight: Load balancing weight.
         startedAtMs: Unix time of the endpoint's start, in milliseconds.
@@ -86,8 +86,8 @@
         Args:
             instances: The endpoints of the first generation.
             calls_per_s: Calls per second that the server processes; 0 to process each call at once.
-            max_queue_delay_s: Longest time that a call may wait and be processed, in seconds; a call that
-                would take longer is rejected. Used only with a limit on the calls.
+            max_queue_delay_s: Longest time from the arrival of a call to the end of its processing, in
+                seconds; a call that would take longer is rejected. Used only with a limit on the calls.
         """
         self.generation = 1
         self.instances = {instance.instanceId: instance for instance in instances}
--- a/testbed/gateway_configuration.py
+++ b/testbed/gateway_configuration.py
@@ -8,7 +8,7 @@
 from testbed.discovery_server import Instance
 
 ZONE_COUNT = 5
-ENDPOINTS_PER_CELL = 6
+ENDPOINTS_PER_FAILURE_DOMAIN = 6
 SAFE_CLASS_NAME = "read"
 UNSAFE_CLASS_NAME = "order"
 UNSAFE_CLASS_INTERVAL = 4  # every fourth request is of the unsafe class, which must not be retried
@@ -76,7 +76,7 @@
 
 
 def create_instances(count: int, addresses: list[str]) -> list[Instance]:
-    """Create endpoints that are distributed evenly over zones, cells and addresses.
+    """Create endpoints that are distributed evenly over zones, failure domains and addresses.
 
     Args:
         count: Number of endpoints.
@@ -87,7 +87,10 @@
     """
     return [
         Instance(
-            f"s-{i:06x}", addresses[i % len(addresses)], f"zone-{i % ZONE_COUNT}", i // ENDPOINTS_PER_CELL
+            f"s-{i:06x}",
+            addresses[i % len(addresses)],
+            f"zone-{i % ZONE_COUNT}",
+            i // ENDPOINTS_PER_FAILURE_DOMAIN,
         )
         for i in range(count)
     ]
--- a/testbed/http_server.py
+++ b/testbed/http_server.py
@@ -75,7 +75,7 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """A downstream connection."""
+    """A connection that the server has accepted."""
 
     def __init__(self, handle: Callable[[Request], None], traffic: TrafficStatistics) -> None:
         self._handle, self._traffic = handle, traffic
--- a/testbed/linear_fit.py
+++ b/testbed/linear_fit.py
@@ -40,7 +40,7 @@
     """
     if len(xs) < MIN_POINTS or len(xs) != len(ys):
         raise ValueError(
-            f"a line fit needs three sizes or more, each with a value: got {len(xs)} and {len(ys)}"
+            f"a line fit needs at least three points: got {len(xs)} x values and {len(ys)} y values"
         )
     slope, intercept = statistics.linear_regression(xs, ys)
     residuals = [y - intercept - slope * x for x, y in zip(xs, ys, strict=True)]
--- a/testbed/messages.py
+++ b/testbed/messages.py
@@ -215,8 +215,9 @@
     """Reply to `RunLoad`.
 
     Attributes:
-        requests_sent: Number of requests.
-        requests_served: Number of responses with status 200.
+        requests_sent: Number of requests: from simulated gateways, during this load; from the load generator,
+            since its start.
+        requests_served: Number of responses with status 200, over the same time.
         added_latency: Encoded histogram of the latency that the gateways added since the start of the worker.
     """
 
--- a/testbed/quota_accounting.py
+++ b/testbed/quota_accounting.py
@@ -44,7 +44,7 @@
     forwarded: Iterable[ForwardedRequest],
     requested_units: Mapping[int, float],
     *,
-    refill: float,
+    refill_units_per_s: float,
     burst: float,
     seconds: float,
 ) -> QuotaUsage:
@@ -53,7 +53,7 @@
     Args:
         forwarded: First attempts of all gateways together, in any order.
         requested_units: Units requested by each tenant.
-        refill: Refill rate of each token bucket, in units per second.
+        refill_units_per_s: Refill rate of each token bucket, in units per second.
         burst: Capacity of each token bucket, in units.
         seconds: Duration of the load.
 
@@ -64,12 +64,14 @@
     units_within_quota = units_over_quota = 0.0
     for sent_at_s, tenant, units in sorted(forwarded):
         tokens, updated_at_s = buckets.get(tenant, (burst, sent_at_s))
-        tokens = min(burst, tokens + refill * (sent_at_s - updated_at_s))
+        tokens = min(burst, tokens + refill_units_per_s * (sent_at_s - updated_at_s))
         if tokens >= units:
             tokens -= units
             units_within_quota += units
         else:
             units_over_quota += units
         buckets[tenant] = (tokens, sent_at_s)
-    units_allowed = sum(min(units, refill * seconds + burst) for units in requested_units.values())
+    units_allowed = sum(
+        min(units, refill_units_per_s * seconds + burst) for units in requested_units.values()
+    )
     return QuotaUsage(units_within_quota, units_over_quota, units_allowed)
--- a/testbed/scale/experiment.py
+++ b/testbed/scale/experiment.py
@@ -168,8 +168,8 @@
         usage = account_quotas(
             [ForwardedRequest(*entry) for result in results for entry in result.forwarded],
             requested_units,
-            refill=fleet.refill,
-            burst=gateway_configuration.bucket_capacity(fleet.refill),
+            refill_units_per_s=fleet.refill_units_per_s,
+            burst=gateway_configuration.bucket_capacity(fleet.refill_units_per_s),
             seconds=seconds,
         )
         rejected_calls = counter_after.rejected_calls - counter_before.rejected_calls
@@ -215,12 +215,12 @@
         propagation_s = await self._wait_until_propagated(discovery.generation)
         await asyncio.sleep(MEASUREMENT_AFTER_PROPAGATION_S)
         interval = Interval(start, await take_snapshot(fleet))
-        sent_bytes = interval.end.discovery.bytes - interval.start.discovery.bytes
+        transferred_bytes = interval.end.discovery.bytes - interval.start.discovery.bytes
         cpu_s = interval.cpu_s(fleet.simulated_gateway_processes)
         return EndpointReplacement(
             endpoints_replaced=replaced_endpoint_count,
             propagation_s=propagation_s,
-            bytes_per_gateway=sent_bytes / self._plan.fleet_size,
+            bytes_per_gateway=transferred_bytes / self._plan.fleet_size,
             cpu_ms_per_gateway=cpu_s / self._plan.simulated_gateways * 1000,
         )
 
--- a/testbed/scale/fleet.py
+++ b/testbed/scale/fleet.py
@@ -47,7 +47,7 @@
         plan: Parameters of the experiment.
         endpoint_count: Size of the endpoint list.
         process_group: All processes.
-        refill: Rate of each tenant's quota, in units per second.
+        refill_units_per_s: Rate of each tenant's quota, in units per second.
         endpoint_processes: The processes that run endpoints for the real gateways.
         discovery: The process that runs discovery.
         counter: The process that runs the counter.
@@ -71,7 +71,7 @@
         self.plan, self.endpoint_count, self.process_group = plan, endpoint_count, process_group
         self._directory = directory
         mean_units = statistics.mean(gateway_configuration.REQUEST_UNIT_CHOICES)
-        self.refill = max(
+        self.refill_units_per_s = max(
             mean_units * plan.requests_per_s * plan.fleet_size / plan.tenants, MIN_REFILL_UNITS_PER_S
         )
         self.endpoint_processes: list[ChildProcess] = []
@@ -165,7 +165,7 @@
             counter_address=counter_started.addresses[0],
             discovery_by_polling=plan.discovery_by_polling,
             seed=plan.seed,
-            refill=self.refill,
+            refill=self.refill_units_per_s,
         )
 
     async def _start_simulated_gateways(self, fleet_configuration: FleetConfiguration) -> None:
--- a/testbed/scale/tables.py
+++ b/testbed/scale/tables.py
@@ -48,7 +48,7 @@
         console.print(_fit_table(report.fits))
     quotas = report.quotas
     console.print(
-        f"Quotas with {quotas.rejected_fraction:.0%} of the counter's calls rejected: "
+        f"Quotas with {quotas.rejected_fraction:.0%} of the calls to the counter rejected: "
         f"{quotas.units_over_quota:,.0f} units over quota, {quotas.units_within_quota:,.0f} within, "
         f"over quota / allowed {quotas.over_quota_ratio:.3f}"
     )
--- a/tests/test_testbed_scale.py
+++ b/tests/test_testbed_scale.py
@@ -35,7 +35,9 @@
         ForwardedRequest(0.2, 2, 1.0),
         ForwardedRequest(10.0, 1, 4.0),
     ]
-    usage = account_quotas(forwarded, {1: 9.0, 2: 1.0, 3: 100.0}, refill=1.0, burst=4.0, seconds=10.0)
+    usage = account_quotas(
+        forwarded, {1: 9.0, 2: 1.0, 3: 100.0}, refill_units_per_s=1.0, burst=4.0, seconds=10.0
+    )
     # Tenant 1 takes 3 of 4 units, so its request of 2 finds 1.1 units. At 10 s, the bucket is full again.
     assert (usage.units_within_quota, usage.units_over_quota) == (8.0, 2.0)
     assert usage.units_allowed == 9.0 + 1.0 + 14.0
@@ -49,7 +51,7 @@
     xs = list(range(200))
     line = fit_line(xs, [x + rng.gauss(0, 3) for x in xs])
     assert abs(line.slope - 1) < 0.02 and 2.5 < line.residual_deviation < 3.5
-    with pytest.raises(ValueError, match="three sizes"):
+    with pytest.raises(ValueError, match="three points"):
         fit_line([1, 2], [1, 2])
 
 
