--- a/tests/support/dispatcher_driver.py
+++ b/tests/support/dispatcher_driver.py
@@ -108,12 +108,18 @@
     )
     dispatcher = Dispatcher(configuration, asyncio.get_running_loop())
     dispatcher._apply_endpoint_list(configuration.cached_endpoints, UpdateKind.CACHED)
+    # Starts the lag measurement without `Dispatcher.start`, which would start to poll discovery, too.
     dispatcher._loop.call_soon(dispatcher._lag._measure)
     return dispatcher, dispatcher._gateway
 
 
 def endpoint_list(endpoint: FakeServer, lifecycle: str) -> EndpointList:
-    """Return the next endpoint list, where the endpoint has a lifecycle or, if that is "gone", is missing."""
+    """Return an endpoint list of the next generation.
+
+    Args:
+        endpoint: The endpoint.
+        lifecycle: Lifecycle of the endpoint in a list of changes; "gone" for an empty full list instead.
+    """
     removed = lifecycle == "gone"
     instances = [] if removed else [instance(ENDPOINT_NAME, endpoint.port, lifecycle)]
     return parse_endpoint_list({"generation": 2, "reset": removed, "instances": instances})
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -27,12 +27,12 @@
 
 
 async def start_client(
-    fake: FakeServer, timeout_ms: float, connection_count: int = 1
+    counter: FakeServer, timeout_ms: float, connection_count: int = 1
 ) -> tuple[CounterClient, asyncio.Queue[CounterReply]]:
     """Start a fake counter, and return a client of it and the queue of its replies."""
-    await fake.start()
+    await counter.start()
     replies: asyncio.Queue[CounterReply] = asyncio.Queue()
-    loop, address = asyncio.get_running_loop(), (LOOPBACK, fake.port)
+    loop, address = asyncio.get_running_loop(), (LOOPBACK, counter.port)
     return CounterClient(loop, address, timeout_ms, replies.put_nowait, connection_count), replies
 
 
@@ -40,14 +40,14 @@
     """The response to a call that has timed out arrives together with that to the next call."""
 
     async def scenario() -> None:
-        fake = FakeServer(lambda request: None)
-        counter, replies = await start_client(fake, 400)
-        counter.increment(IncrementCounter("a", 1, 1000))
+        counter = FakeServer(lambda request: None)
+        client, replies = await start_client(counter, 400)
+        client.increment(IncrementCounter("a", 1, 1000))
         assert (await replies.get()).result == CounterResult.TIMED_OUT
-        counter.increment(IncrementCounter("b", -2.5, 4000.4))
-        await fake.wait_until(lambda fake: len(fake.received) == 2)
-        assert fake.received[1].start_line == "POST /v1/count/b?add=-2.5&ttl_ms=4000 HTTP/1.1"
-        fake.received[0].writer.write(response_bytes(b"7") + response_bytes(b"9"))
+        client.increment(IncrementCounter("b", -2.5, 4000.4))
+        await counter.wait_until(lambda counter: len(counter.received) == 2)
+        assert counter.received[1].start_line == "POST /v1/count/b?add=-2.5&ttl_ms=4000 HTTP/1.1"
+        counter.received[0].writer.write(response_bytes(b"7") + response_bytes(b"9"))
         counter_reply = await replies.get()
         assert (counter_reply.name, counter_reply.result, counter_reply.counter_value) == (
             "b",
@@ -55,8 +55,8 @@
             9,
         )
         assert replies.empty()
+        client.stop()
         counter.stop()
-        fake.stop()
 
     run_scenario(scenario)
 
@@ -77,13 +77,13 @@
 )
 def test_response_determines_the_result_of_a_call(respond: Responder, result: CounterResult) -> None:
     async def scenario() -> None:
-        fake = FakeServer(respond)
-        counter, replies = await start_client(fake, 5000)
-        counter.increment(IncrementCounter("a", 1, 1000))
+        counter = FakeServer(respond)
+        client, replies = await start_client(counter, 5000)
+        client.increment(IncrementCounter("a", 1, 1000))
         assert (await replies.get()).result == result
         assert replies.empty()
+        client.stop()
         counter.stop()
-        fake.stop()
 
     run_scenario(scenario)
 
@@ -92,13 +92,13 @@
     """A busy counter may respond after the configured time, and its counter values are still valid."""
 
     async def scenario() -> None:
-        fake = FakeServer(lambda request: None)
-        await fake.start()
+        counter = FakeServer(lambda request: None)
+        await counter.start()
         config = parse_configuration(
             {
                 "listen": f"{LOOPBACK}:0",
-                "discovery": f"{LOOPBACK}:{fake.port}",
-                "counter": f"{LOOPBACK}:{fake.port}",
+                "discovery": f"{LOOPBACK}:{counter.port}",
+                "counter": f"{LOOPBACK}:{counter.port}",
                 "seed": "1",
                 "settings": {
                     "grades": CLASS_SETTINGS,
@@ -108,17 +108,17 @@
             }
         )
         replies: asyncio.Queue[CounterReply] = asyncio.Queue()
-        counter = CounterClient(
+        client = CounterClient(
             asyncio.get_running_loop(), config.counter, config.settings.counter_timeout_ms, replies.put_nowait
         )
-        counter.increment(IncrementCounter("a", 1, 1000))
-        await fake.wait_until(lambda fake: len(fake.received) == 1)
+        client.increment(IncrementCounter("a", 1, 1000))
+        await counter.wait_until(lambda counter: len(counter.received) == 1)
         await asyncio.sleep(0.4)
-        fake.received[0].writer.write(response_bytes(b"7"))
+        counter.received[0].writer.write(response_bytes(b"7"))
         counter_reply = await replies.get()
         assert (counter_reply.result, counter_reply.counter_value) == (CounterResult.OK, 7)
+        client.stop()
         counter.stop()
-        fake.stop()
 
     run_scenario(scenario)
 
@@ -127,17 +127,17 @@
     """If the network to the counter fails, its connection stays open; no more calls may be written to it."""
 
     async def scenario() -> None:
-        fake = FakeServer(lambda request: None)
-        counter, replies = await start_client(fake, 30)
-        counter.increment(IncrementCounter("a", 1, 1000))
+        counter = FakeServer(lambda request: None)
+        client, replies = await start_client(counter, 30)
+        client.increment(IncrementCounter("a", 1, 1000))
         assert (await replies.get()).result == CounterResult.TIMED_OUT
-        await fake.wait_until(lambda fake: fake.connections_closed == 1)
-        fake.respond = lambda request: response_bytes(b"1")
-        counter.increment(IncrementCounter("a", 1, 1000))
-        await fake.wait_until(lambda fake: len(fake.received) == 2)
-        assert fake.received[0].writer is not fake.received[1].writer
+        await counter.wait_until(lambda counter: counter.connections_closed == 1)
+        counter.respond = lambda request: response_bytes(b"1")
+        client.increment(IncrementCounter("a", 1, 1000))
+        await counter.wait_until(lambda counter: len(counter.received) == 2)
+        assert counter.received[0].writer is not counter.received[1].writer
+        client.stop()
         counter.stop()
-        fake.stop()
 
     run_scenario(scenario, 10)
 
@@ -164,18 +164,18 @@
         monkeypatch.setattr(CounterProtocol, "connection_made", connection_made_and_reset)
         monkeypatch.setattr(CounterProtocol, "connection_lost", connection_lost)
         replies: asyncio.Queue[CounterReply] = asyncio.Queue()
-        counter = CounterClient(
+        client = CounterClient(
             asyncio.get_running_loop(), listener.getsockname(), 5000, replies.put_nowait, 1
         )
-        counter.start()
+        client.start()
         await ended.wait()
         await asyncio.sleep(0.01)  # lets the task that established the connection end, too
-        fake = FakeServer(lambda request: response_bytes(b"1"))
-        fake.asyncio_server = await asyncio.start_server(fake._serve, sock=listener)
-        counter.increment(IncrementCounter("a", 1, 1000))
+        counter = FakeServer(lambda request: response_bytes(b"1"))
+        counter.asyncio_server = await asyncio.start_server(counter._serve, sock=listener)
+        client.increment(IncrementCounter("a", 1, 1000))
         assert (await replies.get()).result == CounterResult.OK
+        client.stop()
         counter.stop()
-        fake.stop()
 
     run_scenario(scenario, 3)
 
@@ -187,23 +187,23 @@
     """
 
     async def scenario() -> None:
-        fake = FakeServer(lambda request: response_bytes(b"many" if len(fake.received) == 1 else b"1"))
-        await fake.start()
+        counter = FakeServer(lambda request: response_bytes(b"many" if len(counter.received) == 1 else b"1"))
+        await counter.start()
         replies: asyncio.Queue[CounterReply] = asyncio.Queue()
 
         def on_reply(counter_reply: CounterReply) -> None:
             replies.put_nowait(counter_reply)
             if counter_reply.result == CounterResult.MALFORMED_RESPONSE:
-                counter.increment(IncrementCounter("a", 1, 1000))
+                client.increment(IncrementCounter("a", 1, 1000))
 
-        counter = CounterClient(asyncio.get_running_loop(), (LOOPBACK, fake.port), 5000, on_reply, 2)
-        counter.increment(IncrementCounter("a", 1, 1000))
+        client = CounterClient(asyncio.get_running_loop(), (LOOPBACK, counter.port), 5000, on_reply, 2)
+        client.increment(IncrementCounter("a", 1, 1000))
         assert [(await replies.get()).result, (await replies.get()).result] == [
             CounterResult.MALFORMED_RESPONSE,
             CounterResult.OK,
         ]
+        client.stop()
         counter.stop()
-        fake.stop()
 
     run_scenario(scenario, 3)
 
@@ -231,36 +231,36 @@
                 silent.append(request.writer)
             return None if request.writer in silent else response_bytes(b"1")
 
-        fake = FakeServer(respond)
-        counter, replies = await start_client(fake, 200, connection_count=3)
-        counter.start()
-        while not all(connection.is_connected for connection in counter._connections):
+        counter = FakeServer(respond)
+        client, replies = await start_client(counter, 200, connection_count=3)
+        client.start()
+        while not all(connection.is_connected for connection in client._connections):
             await asyncio.sleep(0.01)
         for i in range(silent_count):
-            counter.increment(IncrementCounter(f"stuck{i}", 1, 1000))
-        await fake.wait_until(lambda fake: len(silent) == silent_count)
-        counter.increment(IncrementCounter("well", 1, 1000))
+            client.increment(IncrementCounter(f"stuck{i}", 1, 1000))
+        await counter.wait_until(lambda counter: len(silent) == silent_count)
+        client.increment(IncrementCounter("well", 1, 1000))
         assert (await replies.get()).result == CounterResult.OK
         late_replies = [await replies.get() for _ in range(silent_count)]
-        assert {end.result for end in late_replies} == results
+        assert {reply.result for reply in late_replies} == results
+        client.stop()
         counter.stop()
-        fake.stop()
 
     run_scenario(scenario, 5)
 
 
 def test_lost_connection_is_replaced_before_a_call_needs_it() -> None:
     async def scenario() -> None:
-        fake = FakeServer(lambda request: b"" if len(fake.received) == 1 else None)
-        counter, replies = await start_client(fake, 5000)
-        counter.increment(IncrementCounter("a", 1, 1000))
+        counter = FakeServer(lambda request: b"" if len(counter.received) == 1 else None)
+        client, replies = await start_client(counter, 5000)
+        client.increment(IncrementCounter("a", 1, 1000))
         assert (await replies.get()).result == CounterResult.CONNECTION_LOST
-        await fake.wait_until(lambda fake: fake.connections_opened == 2)
-        counter.stop()
-        await fake.wait_until(lambda fake: fake.connections_closed == 1)
+        await counter.wait_until(lambda counter: counter.connections_opened == 2)
+        client.stop()
+        await counter.wait_until(lambda counter: counter.connections_closed == 1)
         await asyncio.sleep(0.2)  # longer than any backoff so far
-        assert fake.connections_opened == 2  # a stopped client does not connect
-        fake.stop()
+        assert counter.connections_opened == 2  # a stopped client does not connect
+        counter.stop()
 
     run_scenario(scenario, 5)
 
@@ -270,20 +270,20 @@
         def respond(request: ReceivedMessage) -> bytes:
             return response_bytes(b"1")
 
-        fake = FakeServer(respond)
-        counter, replies = await start_client(fake, 5000)
-        fake.stop()
-        await fake.asyncio_server.wait_closed()
-        counter.increment(IncrementCounter("a", 1, 1000))
+        counter = FakeServer(respond)
+        client, replies = await start_client(counter, 5000)
+        counter.stop()
+        await counter.asyncio_server.wait_closed()
+        client.increment(IncrementCounter("a", 1, 1000))
         assert (await replies.get()).result == CounterResult.CONNECT_FAILED
-        fake.asyncio_server = await asyncio.start_server(fake._serve, LOOPBACK, fake.port)
+        counter.asyncio_server = await asyncio.start_server(counter._serve, LOOPBACK, counter.port)
         while True:  # calls during the backoff fail at once
-            counter.increment(IncrementCounter("a", 1, 1000))
+            client.increment(IncrementCounter("a", 1, 1000))
             if (await replies.get()).result == CounterResult.OK:
                 break
             await asyncio.sleep(0.01)
+        client.stop()
         counter.stop()
-        fake.stop()
 
     run_scenario(scenario)
 
@@ -293,14 +293,14 @@
 
     async def scenario() -> None:
         old, new = FakeServer(lambda request: None), FakeServer(lambda request: response_bytes(b"2"))
-        counter, replies = await start_client(old, 2000)
+        client, replies = await start_client(old, 2000)
         await new.start()
-        counter.increment(IncrementCounter("a", 1, 1000))
-        await old.wait_until(lambda fake: len(fake.received) == 1)
-        counter.change_address((LOOPBACK, new.port))
+        client.increment(IncrementCounter("a", 1, 1000))
+        await old.wait_until(lambda counter: len(counter.received) == 1)
+        client.change_address((LOOPBACK, new.port))
         old.received[0].writer.write(response_bytes(b"70"))  # late, and a value of the old counter only
         assert (await replies.get()).result == CounterResult.MALFORMED_RESPONSE
-        counter.increment(IncrementCounter("a", 1, 1000))
+        client.increment(IncrementCounter("a", 1, 1000))
         counter_reply = await replies.get()
         assert (counter_reply.result, counter_reply.counter_value) == (CounterResult.OK, 2)
         old.stop()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -228,7 +228,7 @@
         assert new_connection.polls == ["/v1/endpoints?after=9&wait_ms=1"]
 
 
-def test_silent_agent_is_polled_again_within_the_drain_grace() -> None:
+def test_silent_agent_is_polled_again_within_its_timeout_and_backoff() -> None:
     """The bound is the sum of the timeout of an agent, the limit of its backoff, and a margin."""
     loop = FakeLoop()
     watch = create_watch(loop, spread_s=0.0)
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize(("level", "lines"), [(logging.DEBUG, 1), (logging.INFO, 0)])
-def test_rejection_is_logged_with_the_id_of_the_client_at_debug_level(
+def test_rejection_is_logged_with_the_x_request_id_at_debug_level(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture, level: int, lines: int
 ) -> None:
     async def scenario() -> None:
@@ -80,7 +80,7 @@
     assert [message for message in caplog.messages if "request_rejected" in message] == [expected] * lines
 
 
-def test_deadline_timer_logs_the_id_of_the_client(
+def test_deadline_timer_logs_the_x_request_id(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def scenario() -> None:
@@ -152,7 +152,10 @@
 
 
 def test_no_attempt_is_started_for_a_client_that_has_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The counter replies and the decisions start an attempt while the end of the connection is unread."""
+    """An event loop under load may report late that a client has disconnected.
+
+    Until then, a counter reply can make the decisions start an attempt for it.
+    """
 
     async def scenario() -> None:
         endpoint = FakeServer(lambda request: response_bytes(b"served"))
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -24,7 +24,7 @@
     """A dispatcher that responds to each request immediately.
 
     Attributes:
-        request_ids: X-Request-Id of each request, in the order of arrival.
+        x_request_ids: X-Request-Id of each request, in the order of arrival.
     """
 
     def __init__(self) -> None:
@@ -32,13 +32,13 @@
         self.settings = settings(classes=(READ_CLASS,), plans=(plan,), fleet_size=1)
         self.is_draining = False
         self.is_terminated = False
-        self.request_ids: list[bytes] = []
+        self.x_request_ids: list[bytes] = []
 
     def is_ready(self) -> bool:
         return True
 
     def submit(self, client: DownstreamConnection, inbound_request: InboundRequest) -> str:
-        self.request_ids.append(inbound_request.x_request_id)
+        self.x_request_ids.append(inbound_request.x_request_id)
         client.respond(200, b"served")
         return inbound_request.x_request_id.decode()
 
@@ -61,12 +61,12 @@
         client.sendall(data)
         return client
 
-    def connect_and_request(self, request_id: bytes) -> socket.socket:
+    def connect_and_request(self, x_request_id: bytes) -> socket.socket:
         """Open a connection and send a request."""
-        return self.connect(request_bytes(x_request_id=request_id))
+        return self.connect(request_bytes(x_request_id=x_request_id))
 
     async def wait_for_requests(self, count: int) -> None:
-        while len(self.dispatcher.request_ids) < count:
+        while len(self.dispatcher.x_request_ids) < count:
             await asyncio.sleep(0.001)
 
     async def read(self, client: socket.socket) -> bytes:
@@ -105,7 +105,7 @@
 
 
 @async_test(limit_s=5)
-async def test_listener_stays_open_until_there_is_capacity_for_its_backlog() -> None:
+async def test_listener_stays_open_until_the_connection_limit_admits_its_backlog() -> None:
     """The connection limit delays the accept; connections that wait in the backlog must not be reset."""
     running = RunningListener(max_descriptors=4)  # allows two client connections
     clients = [running.connect_and_request(b"id-%d" % i) for i in range(4)]
@@ -130,7 +130,7 @@
     assert await running.is_closed(idle)
     while not running.listener.close_idle():  # the gateway drains, so it closes this connection, too
         await asyncio.sleep(0.001)
-    assert running.dispatcher.request_ids == [b"a", b"b", b"c"]
+    assert running.dispatcher.x_request_ids == [b"a", b"b", b"c"]
 
 
 @async_test(limit_s=5)
@@ -180,4 +180,4 @@
     running = RunningListener()
     running.dispatcher.is_draining = running.dispatcher.is_terminated = True
     client = running.connect_and_request(b"late")
-    assert (await running.read(client)).startswith(b"HTTP/1.1 503") and not running.dispatcher.request_ids
+    assert (await running.read(client)).startswith(b"HTTP/1.1 503") and not running.dispatcher.x_request_ids
--- a/tests/test_upstream_pool.py
+++ b/tests/test_upstream_pool.py
@@ -110,7 +110,10 @@
 def test_nothing_is_written_after_a_connect_for_a_client_that_has_disconnected(
     monkeypatch: pytest.MonkeyPatch, reported: bool
 ) -> None:
-    """This needs no action of the decisions, also while the end of the client's connection is unread."""
+    """The pool withdraws the attempt without an action of the decisions.
+
+    It does so even if the event loop has not reported yet that the client has disconnected.
+    """
 
     async def scenario() -> None:
         endpoint = FakeServer(serve)
