--- a/api_gateway/network/downstream/connection.py
+++ b/api_gateway/network/downstream/connection.py
@@ -178,7 +178,7 @@
         """Queue the complete request."""
         request = self._partial_request
         request.keep_alive = self._parser.should_keep_alive()
-        request.read_at = time.monotonic()
+        request.received_at_s = time.monotonic()
         self._partial_request = None
         self._received_bytes = 0
         self._queue.append(request)
--- a/api_gateway/network/downstream/request_parsing.py
+++ b/api_gateway/network/downstream/request_parsing.py
@@ -77,7 +77,7 @@
         body: Fragments of the body, in order.
         body_bytes: Length of the body.
         keep_alive: Whether the connection persists after the response (RFC 9112 section 9.3).
-        read_at: Time at which the last byte was read, in seconds of `time.monotonic`.
+        received_at_s: Time at which the last byte was read, in seconds of `time.monotonic`.
     """
 
     __slots__ = (
@@ -89,7 +89,7 @@
         "keep_alive",
         "method",
         "path",
-        "read_at",
+        "received_at_s",
         "target",
     )
 
@@ -103,7 +103,7 @@
         self.body: list[bytes] = []
         self.body_bytes = 0
         self.keep_alive = True
-        self.read_at = 0.0
+        self.received_at_s = 0.0
 
     @property
     def expects_continue(self) -> bool:
@@ -195,7 +195,7 @@
                 "X-Class and Plan: expected a class and a plan of the settings, "
                 f"got {headers.get(REQUEST_CLASS_HEADER)!r} and {headers.get(PLAN_HEADER)!r}"
             )
-        remaining_time_ms = _parse_deadline(headers.get(DEADLINE_HEADER, b""))
+        remaining_time_ms = _parse_remaining_time_ms(headers.get(DEADLINE_HEADER, b""))
         quota_info = self.parse_quota_info(headers.get(QUOTA_INFO_HEADER, b""))
         return InboundRequest(
             x_request_id=headers.get(X_REQUEST_ID_HEADER, b""),
@@ -207,7 +207,7 @@
             gateway_count=quota_info.gateway_count,
             first_gateway=quota_info.first_gateway,
             is_retry=headers.get(RETRY_HEADER) == b"1",
-            received_at_s=request.read_at,
+            received_at_s=request.received_at_s,
             head=_serialize_upstream_head(request, request_class),
             body=b"".join(request.body),
         )
@@ -254,7 +254,7 @@
     return tenant.decode().lower()
 
 
-def _parse_deadline(value: bytes) -> float:
+def _parse_remaining_time_ms(value: bytes) -> float:
     """Return the remaining time that an X-Deadline header gives, in milliseconds.
 
     Args:
--- a/tests/test_request_parsing.py
+++ b/tests/test_request_parsing.py
@@ -46,7 +46,7 @@
 
 def test_get_is_converted() -> None:
     request = parsed_request(b"read", b"GET", x_retry=b"1")
-    request.read_at = 17.0
+    request.received_at_s = 17.0
     assert validate(request) == InboundRequest(
         x_request_id=b"id-1",
         class_name="read",
