--- a/api_gateway/decisions/tenants.py
+++ b/api_gateway/decisions/tenants.py
@@ -8,9 +8,9 @@
 
 from api_gateway.decisions.ceiling import CeilingShare
 from api_gateway.decisions.quota import QuotaConditions, TenantQuota, window_length_ms
+from api_gateway.decisions.tenant_counter_calls import TenantCounterCalls
 from api_gateway.decisions.traffic import RATE_TIME_CONSTANT_MS
 from api_gateway.decisions.uptime import Uptime
-from api_gateway.decisions.usage_report import TenantCounterCalls
 from api_gateway.model.events import RequestReceived
 from api_gateway.model.settings import Plan, Settings
 
--- a/tests/test_deploy_file.py
+++ b/tests/test_deploy_file.py
@@ -32,10 +32,10 @@
         "slow_start",
         "subset",
         "subset_sizing",
+        "tenant_counter_calls",
         "tenants",
         "traffic",
         "uptime",
-        "usage_report",
         "usage_reporting",
     )
     paths = "".join(f'    "api_gateway/decisions/{module}.py",\n' for module in modules)
