--- a/api_gateway/network/counter_connection.py
+++ b/api_gateway/network/counter_connection.py
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True, eq=False)
 class CounterCall:
-    """One call to the counter, until its result is reported.
+    """One call to the counter, until its result is reported and its response can no longer arrive.
 
     Attributes:
         action: The name of the count and the amount to add.
@@ -237,8 +237,13 @@
             self._on_result(call, CounterResult.OK, counter_value)
 
     def handle_malformed_response(self) -> None:
-        """Close the connection, as no response after a malformed one can be matched to its call."""
-        log.warning("counter_response_malformed connection=closed")
+        """Close the connection after a malformed response or one with an unexpected status.
+
+        The responses after it cannot be trusted.
+        """
+        log.warning(
+            "counter_response_malformed connection=closed cause=invalid_response_or_unexpected_status"
+        )
         self._protocol.abort()
         self._fail_calls(CounterResult.MALFORMED_RESPONSE)
 
--- a/api_gateway/network/discovery.py
+++ b/api_gateway/network/discovery.py
@@ -29,13 +29,14 @@
 
     The watch connects if there is no connection, sends a poll, waits for its response, and polls again at
     once. A failed poll is retried after a backoff with full jitter, so that gateways that fail together do
-    not retry at the same time. A watch that knows a list requests only its changes, even after a failed
-    poll, because sending full lists to a whole fleet at once would overload discovery. Only a malformed list
-    or a new address makes it request the full list.
+    not retry at the same time. A watch that knows a list requests only the changes since then, even after a
+    failed poll, because sending full lists to a whole fleet at once would overload discovery. Only a
+    malformed list or a new address makes it request the full list.
 
     While a long poll has no response, a lost response cannot be distinguished from the absence of changes. So
     long polls are short, and the poll after a timeout does not wait for a change, which shows at once whether
-    discovery responds. For an agent, this also holds after a disconnect.
+    discovery responds. If discovery is an agent on this machine (see `discovery_policy`), the poll after a
+    disconnect does not wait, either.
     """
 
     def __init__(
@@ -64,7 +65,7 @@
         self._policy = policy if policy is not None else PollPolicy()
         self._generation = known_generation  # None: the next poll requests the full list
         self._is_up_to_date = False  # the next poll may wait for a change
-        self._has_timed_out = False  # since the last response, to log only the first timeout
+        self._has_timed_out = False  # since the last endpoint list, to log only the first timeout
         self._connect_task: asyncio.Task | None = None
         self._connection: DiscoveryConnection | None = None
         self._timer: asyncio.TimerHandle | None = None  # timeout of a step, or delay before a poll
@@ -236,7 +237,7 @@
             self._time_out_poll()
 
     def _is_progressing(self) -> bool:
-        """Return whether more of a full list has arrived since the last check."""
+        """Return whether more of a full list has arrived since the last check, within its timeout."""
         if self._connection is None or self._generation is not None:
             return False
         previous_bytes, self._received_bytes = self._received_bytes, self._connection.received_bytes()
@@ -245,7 +246,7 @@
 
     def _time_out_poll(self) -> None:
         if not self._has_timed_out:
-            log.warning("discovery_poll_timed_out endpoints=kept")
+            log.warning("discovery_poll_timed_out endpoints=kept further_timeouts=not_logged_until_next_list")
         self._has_timed_out = True
         self._is_up_to_date = False
         if self._connect_task is not None:
@@ -292,8 +293,10 @@
         self._watch.handle_response(self, response, is_reusable)
 
     def malformed_response(self) -> None:
-        """Log a malformed HTTP response; the connection is closed afterwards."""
-        log.warning("discovery_response_unreadable endpoints=kept")
+        """Log an invalid or too large HTTP response; the connection is closed afterwards."""
+        log.warning(
+            'discovery_response_unreadable error="HTTP response is invalid or too large" endpoints=kept'
+        )
 
     def connection_closed(self) -> None:
         """Report the end of the connection to the watch."""
--- a/api_gateway/network/discovery_policy.py
+++ b/api_gateway/network/discovery_policy.py
@@ -138,7 +138,8 @@
 
         Args:
             consecutive_failures: Number of failed polls since the last success, rejected ones included.
-            consecutive_rejections: Number of polls rejected with a status code since the last success.
+            consecutive_rejections: Number of polls since the last success whose response has a status other
+                than 200.
             started_at: When the last poll started, in s of event-loop time.
             now: Current event-loop time in s.
         """
--- a/api_gateway/network/downstream/connection.py
+++ b/api_gateway/network/downstream/connection.py
@@ -26,7 +26,7 @@
 API_PATH_PREFIX = b"/api/"
 # A chunked body is longer on the wire than its data, since each chunk is preceded by a line with its size.
 MAX_REQUEST_WIRE_BYTES = MAX_HEADER_BYTES + 2 * MAX_REQUEST_BODY_BYTES
-# Requests that may be queued behind the one in flight.
+# A further request is an error while more than this many requests are queued.
 MAX_PIPELINED_REQUESTS = 16
 # If more input than this is discarded after the last response, the connection is aborted.
 MAX_DISCARDED_BYTES = 1024 * 1024
@@ -275,7 +275,7 @@
             status: Status code.
             body: Response body.
             content_type: Value of the Content-Type header; empty to omit the header.
-            retry_after_ms: Value of the Retry-After header in milliseconds; 0 to omit the header.
+            retry_after_ms: Time for Retry-After, in milliseconds; 0 to omit the header.
         """
         self._request_id = None
         self._is_awaiting_response = False
@@ -311,8 +311,8 @@
     def _close_after_response(self, status: int) -> None:
         """Close the connection, or half-close it if the client may be sending, and discard further input.
 
-        The client may be sending if a request is partly read, or if the request was rejected, since its body
-        or further requests may follow.
+        The client may be sending if a request is partly read, or if the request was invalid (4xx), since its
+        body or further requests may follow.
 
         Args:
             status: Status code of the response.
@@ -329,7 +329,7 @@
     # Timeouts, eviction and shutdown
 
     def enforce_timeouts(self, now: float) -> None:
-        """Close the connection, or reject the request being read, if its timeout has expired.
+        """Close the connection, or respond with 408 to the request being read, if its timeout has expired.
 
         Must only be called while no response is awaited.
 
--- a/api_gateway/network/downstream/request_parsing.py
+++ b/api_gateway/network/downstream/request_parsing.py
@@ -51,7 +51,7 @@
 
 
 class BadRequestError(GatewayError, ValueError):
-    """A request is invalid. It is rejected, and its connection is closed after the response.
+    """A request is invalid. It gets a 4xx response, and its connection is closed afterwards.
 
     The text of the error is for developers: it is neither sent to the client nor logged.
 
@@ -250,7 +250,9 @@
     """
     tenant = path.rpartition(b"/")[2]
     if not _TENANT_PATTERN.fullmatch(tenant) or int(tenant, 16) >= TENANT_ID_LIMIT:
-        raise BadRequestError(f"tenant: expected 16 hexadecimal digits below 2**33, got {tenant!r}")
+        raise BadRequestError(
+            f"tenant: expected a number below 2**33 as 16 hexadecimal digits, got {tenant!r}"
+        )
     return tenant.decode().lower()
 
 
--- a/api_gateway/network/downstream/response_writer.py
+++ b/api_gateway/network/downstream/response_writer.py
@@ -27,8 +27,8 @@
         status: Status code; one of the keys of `REASON_PHRASES`.
         body: Response body.
         content_type: Value of the Content-Type header; empty to omit the header.
-        retry_after_ms: Value of the Retry-After header in milliseconds; 0 to omit the header. It is written
-            in seconds with three decimals, an extension of RFC 9110 section 10.2.3, which has whole seconds.
+        retry_after_ms: Time for Retry-After, in milliseconds; 0 to omit the header. It is written in seconds
+            with three decimals, an extension of RFC 9110 section 10.2.3, which has whole seconds.
         keep_alive: Whether the connection stays open after the response.
     """
     parts = [STATUS_LINES[status], b"Content-Length: %d\r\n" % len(body)]
--- a/api_gateway/network/open_requests.py
+++ b/api_gateway/network/open_requests.py
@@ -22,7 +22,7 @@
             status: HTTP status code.
             body: The response body.
             content_type: Value of Content-Type; empty to omit the header.
-            retry_after_ms: Time for Retry-After; 0 to omit the header.
+            retry_after_ms: Time for Retry-After, in milliseconds; 0 to omit the header.
         """
 
     def abort_if_disconnected(self) -> bool:
--- a/api_gateway/network/request_handler.py
+++ b/api_gateway/network/request_handler.py
@@ -25,8 +25,8 @@
 # A request without a response is failed with 504 this long before its remaining time ends.
 DEADLINE_MARGIN_MS = 8.0
 
-# The decisions get a remaining time that is shorter by this much, so that they respond before the 504 is
-# sent.
+# The remaining time that the decisions get ends this long before that of the request, and so before the 504
+# is sent.
 DECISION_MARGIN_MS = 20.0
 
 # Response header in which an endpoint reports the units that the request used.
@@ -64,7 +64,7 @@
             connect_timeout_ms=configuration.connect_timeout_ms,
             idle_timeout_ms=configuration.idle_timeout_ms,
             on_attempt_ended=self._on_attempt_ended,
-            close_if_abandoned=self._close_if_attempt_abandoned,
+            close_if_client_disconnected=self._close_if_client_of_attempt_disconnected,
         )
         self._settings = configuration.settings
         self._loop = loop
@@ -126,7 +126,7 @@
         Args:
             request_id: Id of the request.
             status: HTTP status code.
-            retry_after_ms: Time after which the client may retry; 0 omits Retry-After.
+            retry_after_ms: Time after which the client may retry, in milliseconds; 0 omits Retry-After.
         """
         request = self.requests.get(request_id)
         if request is None or request.client is None:
@@ -148,7 +148,7 @@
         client.respond(200, response.body, response.headers.get(b"content-type", b""))
         self._withdraw_unsent_attempts(request)
 
-    def _close_if_abandoned(self, request: OpenRequest | None) -> bool:
+    def _close_if_client_disconnected(self, request: OpenRequest | None) -> bool:
         """Close a request if its client has disconnected.
 
         The client's socket is polled, since the event loop may report the end of the connection much later.
@@ -203,11 +203,11 @@
         request = self.requests.get(action.request_id)
         number = len(request.attempts) if request is not None else 0
         remaining_s = request.deadline - time.monotonic() if request is not None else 0.0
-        is_abandoned = self._close_if_abandoned(request)
-        if is_abandoned or remaining_s <= 0 or number >= self._settings.max_attempts:
+        is_closed = self._close_if_client_disconnected(request)
+        if is_closed or remaining_s <= 0 or number >= self._settings.max_attempts:
             if request is not None:
                 request.attempts.append(None)
-            self._post_attempt_not_started(action, number, is_final=is_abandoned)
+            self._post_attempt_not_started(action, number, is_final=is_closed)
             return
         timeout_s = min(action.timeout_ms / 1000, remaining_s) if action.timeout_ms else remaining_s
         now = time.monotonic()
@@ -245,8 +245,8 @@
             )
         )
 
-    def _close_if_attempt_abandoned(self, attempt: Attempt) -> bool:
-        return self._close_if_abandoned(self.requests.get(attempt.request_id))
+    def _close_if_client_of_attempt_disconnected(self, attempt: Attempt) -> bool:
+        return self._close_if_client_disconnected(self.requests.get(attempt.request_id))
 
     def _on_attempt_ended(self, attempt: Attempt, result: AttemptResult, response: Response | None) -> None:
         request = self.requests.get(attempt.request_id)
--- a/api_gateway/network/response_parser.py
+++ b/api_gateway/network/response_parser.py
@@ -29,7 +29,7 @@
 
 
 def parse_decimal(text: bytes) -> float | None:
-    """Parse a decimal number; unlike `float`, reject forms such as `1_0`, `nan` or ` 1`.
+    """Parse a decimal number; unlike `float`, accept no forms such as `1_0`, `nan` or ` 1`.
 
     Returns:
         The number, or None if the text is not one.
--- a/api_gateway/network/upstream/pool.py
+++ b/api_gateway/network/upstream/pool.py
@@ -36,8 +36,8 @@
         connect_timeout_ms: Time within which a connection must be established.
         idle_timeout_ms: Time after which the endpoints close an idle connection.
         on_attempt_ended: Called once for each attempt with its result, and its response if that is complete.
-        close_if_abandoned: Closes the request of an attempt if its client has disconnected, and returns
-            whether no client waits for its response. Called when a connect has succeeded.
+        close_if_client_disconnected: Closes the request of an attempt if its client has disconnected, and
+            returns whether no client waits for its response. Called when a connect has succeeded.
     """
 
     def __init__(
@@ -48,14 +48,14 @@
         connect_timeout_ms: float,
         idle_timeout_ms: float,
         on_attempt_ended: Callable[[Attempt, AttemptResult, Response | None], None],
-        close_if_abandoned: Callable[[Attempt], bool],
+        close_if_client_disconnected: Callable[[Attempt], bool],
     ) -> None:
         self._loop = loop
         self._max_connections = max_connections
         self._connect_timeout_s = connect_timeout_ms / 1000
         self._idle_timeout_s = IDLE_TIMEOUT_FRACTION * idle_timeout_ms / 1000
         self._on_attempt_ended = on_attempt_ended
-        self._close_if_abandoned = close_if_abandoned
+        self._close_if_client_disconnected = close_if_client_disconnected
         self._endpoints: dict[str, UpstreamEndpoint] = {}
         self._connections: set[UpstreamConnection] = set()
         self._pending_connects: dict[Attempt, UpstreamEndpoint] = {}
@@ -121,8 +121,8 @@
     def _accepts_new_requests(self, endpoint: UpstreamEndpoint) -> bool:
         """Return whether an endpoint is still the listed process and is not draining.
 
-        An attempt chosen for an earlier process must not be sent to its successor, which starts with the load
-        limit of a cold endpoint.
+        An attempt chosen for an earlier process must not be sent to its successor, which may be in slow start
+        with a budget of its own.
         """
         return self._endpoints.get(endpoint.name) is endpoint and not endpoint.is_draining
 
@@ -236,6 +236,8 @@
         if task.cancelled() or (error is not None and not isinstance(error, ConnectionResetError)):
             self._end_attempt(attempt, AttemptResult.CONNECT_FAILED)
         elif error is not None:
+            # A reset affects one connection only, so it must not eject the endpoint at once, as
+            # CONNECT_FAILED would.
             self._end_attempt(attempt, AttemptResult.NOT_SENT)
         else:
             self._send_on_new_connection(attempt, endpoint, task.result()[1])
@@ -261,7 +263,7 @@
         return (
             self._accepts_new_requests(endpoint)
             and time.monotonic() <= attempt.write_deadline
-            and not self._close_if_abandoned(attempt)
+            and not self._close_if_client_disconnected(attempt)
         )
 
     def _on_connect_timeout(self, attempt: Attempt) -> None:
--- a/api_gateway/settings_codec.py
+++ b/api_gateway/settings_codec.py
@@ -1,8 +1,9 @@
 """Conversion of the settings object, as operators write it, to `Settings`.
 
 The settings come in two forms with the same keys: nested JSON in the configuration file, and `path=value`
-pairs in the first message of the simulator. Both are first converted to a mapping of paths to texts, such as
-`grades.0.objective_ms` to `250`, and then to `Settings` by the tables below. No other module names the keys.
+pairs in each message of the simulator that starts a gateway. Both are first converted to a mapping of paths
+to texts, such as `grades.0.objective_ms` to `250`, and then to `Settings` by the tables below. No other
+module names the keys.
 """
 
 from __future__ import annotations
@@ -70,6 +71,7 @@
 
 
 def _parse_integer(text: str) -> int:
+    """Convert a text to a number, and drop its fraction."""
     return int(parse_number(text))
 
 
@@ -168,6 +170,7 @@
 
 TRANSPORT_KEYS = (
     SettingKey("bounds.dial_timeout_ms", "connect_timeout_ms", parse_number, 250.0),
+    # Also read by GATEWAY_KEYS, with another default.
     SettingKey("bounds.conn_idle_ms", "idle_timeout_ms", parse_number, 15000.0),
     SettingKey("rules.must_ask_in_ms", "max_poll_interval_ms", parse_number, 10000.0),
 )
@@ -246,7 +249,7 @@
 
 
 def check_settings(settings: Settings) -> None:
-    """Check the ranges of all settings.
+    """Check the settings as `Settings.check` does.
 
     Raises:
         InvalidSettingError: A value is out of range; the error has the key that operators write.
--- a/api_gateway/shutdown.py
+++ b/api_gateway/shutdown.py
@@ -3,15 +3,16 @@
 1. At the signal, the gateway starts to drain: its readiness check fails, and each connection is closed after
    the response to its request. New connections are still accepted, since clients notice the drain with a
    delay.
-2. After ACCEPT_AFTER_SIGNAL_S, the gateway stops accepting as soon as its backlog is empty, and closes idle
-   connections. It repeats both every CHECK_INTERVAL_S. Once all connections are closed, every request has
-   its response, and the shutdown is finished.
+2. After ACCEPT_AFTER_SIGNAL_S, the gateway stops accepting as soon as its backlog is empty, and then closes
+   idle connections. It repeats both every CHECK_INTERVAL_S. Once all connections are closed, every request
+   has its response, and the shutdown is finished.
 3. Requests that are open when the drain timeout expires get a 504 response, since a killed process could not
    send any. The drain timeout is the longest deadline of a request class, limited to
    MAX_AWAITED_DEADLINE_S, plus DRAIN_MARGIN_S.
 4. The shutdown is finished FLUSH_DELAY_S later in any case. Within this time, the responses are sent.
 
-The process gets SIGKILL 0.7 s after the longest deadline, limited to MAX_AWAITED_DEADLINE_S, or later.
+SIGKILL follows the signal no earlier than after the longest deadline (at most MAX_AWAITED_DEADLINE_S) plus
+0.7 s.
 """
 
 from __future__ import annotations
--- a/api_gateway/simulator/codec.py
+++ b/api_gateway/simulator/codec.py
@@ -191,7 +191,7 @@
 def _decode_catalog_update(values: list[str]) -> CatalogUpdate:
     kind_text, version, catalog = values
     kind = decode_enum(UPDATE_KINDS, kind_text)
-    decode_integer(version)
+    decode_integer(version)  # only checked: updates have no version in the model
     return CatalogUpdate(kind, None if kind is UpdateKind.FAILED else decode_integer(catalog))
 
 
@@ -234,7 +234,7 @@
         raise MalformedLineError(
             f"{name}: expected the name of a gateway and "
             f"{'at least 1' if decoder.value_count is None else decoder.value_count} values, "
-            f"got {len(parts) - 1} parts in total"
+            f"got {len(parts) - 1} parts after the name of the message"
         )
     return decoder.decode(values)
 
--- a/testbed/simulated_pool.py
+++ b/testbed/simulated_pool.py
@@ -53,7 +53,7 @@
         connect_timeout_ms: float,
         idle_timeout_ms: float,
         on_attempt_ended: Callable[[Attempt, AttemptResult, Response | None], None],
-        close_if_abandoned: Callable[[Attempt], bool],
+        close_if_client_disconnected: Callable[[Attempt], bool],
     ) -> None:
         self._endpoints = endpoints
         self._loop, self._on_attempt_ended = loop, on_attempt_ended
