--- a/api_gateway/network/upstream/attempt.py
+++ b/api_gateway/network/upstream/attempt.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from api_gateway.network.upstream.connection import UpstreamConnection
 
-# Response header that an endpoint sets to 1 if it rejects a request without having run it.
+# Response header that an endpoint sets to 1 in a 503 or 504 response to a request that it has not run.
 NOT_RUN_HEADER = b"x-not-run"
 
 
@@ -34,7 +34,8 @@
         connect_task: The pending connect, if there is one.
         response_timer: Timer that fires at `deadline`.
         connect_timer: Timer of the pending connect.
-        write_timer: Timer that fires at `write_deadline`; None if all bytes were sent at once.
+        write_timer: Timer that fires at `write_deadline`; None if there is no such deadline, or if all bytes
+            were sent at once on an idle connection.
         is_done: Whether its result has been reported.
     """
 
--- a/testbed/counter_server.py
+++ b/testbed/counter_server.py
@@ -41,7 +41,7 @@
         target: The request target, `/v1/count/NAME?add=AMOUNT&ttl_ms=LIFETIME`.
 
     Returns:
-        The increment, or None for a malformed target.
+        The increment, or None if the target is malformed, or its name or amount exceeds a limit.
     """
     url = urlsplit(target)
     query = parse_qs(url.query)
--- a/testbed/load_generator.py
+++ b/testbed/load_generator.py
@@ -83,9 +83,9 @@
     """Generates load on real gateways.
 
     Attributes:
-        added_latency: Latency beyond the endpoint's service time, of each served request.
+        added_latency: Latency beyond the endpoint's service time, of each served request since the start.
         requests_sent: Number of requests since the start.
-        requests_served: Number of responses with status 200 since the start.
+        requests_served: Number of responses with status 200 and a service time since the start.
     """
 
     def __init__(
@@ -133,7 +133,7 @@
         await asyncio.sleep(FINAL_RESPONSE_WAIT_S)
 
     def response_received(self, due_at: float, status: int, body: bytes) -> None:
-        """Count one response, and record its latency if it has status 200.
+        """Count a response with status 200 and a service time, and record its added latency.
 
         Args:
             due_at: Time at which the request was due, in seconds by `time.monotonic`.
--- a/testbed/messages.py
+++ b/testbed/messages.py
@@ -217,7 +217,8 @@
     Attributes:
         requests_sent: Number of requests: from simulated gateways, during this load; from the load generator,
             since its start.
-        requests_served: Number of responses with status 200, over the same time.
+        requests_served: Number of responses with status 200 over the same time, without those that bypass the
+            gateways.
         added_latency: Encoded histogram of the latency that the gateways added since the start of the worker.
     """
 
--- a/testbed/scale/measurement.py
+++ b/testbed/scale/measurement.py
@@ -124,10 +124,10 @@
     processes, results = fleet.simulated_gateway_processes, measurement.simulated_results
     gateways = fleet.plan.simulated_gateways
     requests = sum(result.requests_sent for result in results)
-    cpu_s_per_idle_s = measurement.idle.cpu_s(processes) / measurement.idle.duration_s
+    idle_cpu_s_per_s = measurement.idle.cpu_s(processes) / measurement.idle.duration_s
     load_cpu_s = measurement.load.cpu_s(processes)
-    cpu_s_per_request = (load_cpu_s - cpu_s_per_idle_s * measurement.load.duration_s) / max(requests, 1)
-    generator_cpu_s_per_request = _generator_cpu_s_per_request(fleet, measurement, cpu_s_per_idle_s)
+    cpu_s_per_request = (load_cpu_s - idle_cpu_s_per_s * measurement.load.duration_s) / max(requests, 1)
+    generator_cpu_s_per_request = _generator_cpu_s_per_request(fleet, measurement, idle_cpu_s_per_s)
     return RoleFigures(
         role=Role.SIMULATED_GATEWAY,
         processes=len(processes),
@@ -136,7 +136,7 @@
         served=sum(result.requests_served for result in results),
         cpu_s=load_cpu_s,
         cpu_us_per_request=(cpu_s_per_request - generator_cpu_s_per_request) * MICROSECONDS_PER_S,
-        cpu_us_per_idle_s=cpu_s_per_idle_s / gateways * MICROSECONDS_PER_S,
+        cpu_us_per_idle_s=idle_cpu_s_per_s / gateways * MICROSECONDS_PER_S,
         added_ms=merge_percentiles(result.added_latency for result in results),
         memory_mb=sum(process.memory_mb() for process in processes) / gateways,
         connects_per_request=sum(result.connects for result in results) / max(requests, 1),
@@ -145,11 +145,11 @@
 
 
 def _generator_cpu_s_per_request(
-    fleet: Fleet, measurement: LoadMeasurement, cpu_s_per_idle_s: float
+    fleet: Fleet, measurement: LoadMeasurement, idle_cpu_s_per_s: float
 ) -> float:
     """Return the processor time that generating one request takes in a process of simulated gateways."""
     calibration = measurement.calibration
-    cpu_s = calibration.cpu_s(fleet.simulated_gateway_processes) - cpu_s_per_idle_s * calibration.duration_s
+    cpu_s = calibration.cpu_s(fleet.simulated_gateway_processes) - idle_cpu_s_per_s * calibration.duration_s
     requests = sum(result.requests_sent for result in measurement.calibration_results)
     return max(cpu_s, 0.0) / max(requests, 1)
 
@@ -157,9 +157,9 @@
 def _real_gateway_figures(fleet: Fleet, measurement: LoadMeasurement, result: LoadResult) -> RoleFigures:
     processes = fleet.real_gateway_processes
     requests = max(result.requests_sent, 1)
-    cpu_s_per_idle_s = measurement.idle.cpu_s(processes) / measurement.idle.duration_s
+    idle_cpu_s_per_s = measurement.idle.cpu_s(processes) / measurement.idle.duration_s
     load_cpu_s = measurement.load.cpu_s(processes)
-    cpu_s_per_request = (load_cpu_s - cpu_s_per_idle_s * measurement.load.duration_s) / requests
+    cpu_s_per_request = (load_cpu_s - idle_cpu_s_per_s * measurement.load.duration_s) / requests
     idle_end, load_end = measurement.idle.end, measurement.load.end
     connections_opened = load_end.endpoint_connections_opened - idle_end.endpoint_connections_opened
     return RoleFigures(
@@ -170,7 +170,7 @@
         served=result.requests_served,
         cpu_s=load_cpu_s,
         cpu_us_per_request=cpu_s_per_request * MICROSECONDS_PER_S,
-        cpu_us_per_idle_s=cpu_s_per_idle_s / len(processes) * MICROSECONDS_PER_S,
+        cpu_us_per_idle_s=idle_cpu_s_per_s / len(processes) * MICROSECONDS_PER_S,
         connects_per_request=connections_opened / requests,
         connections=load_end.endpoint_connections_open / len(processes),
         added_ms=merge_percentiles([result.added_latency]),
@@ -181,7 +181,7 @@
 def _server_figures(fleet: Fleet, measurement: LoadMeasurement, role: Role) -> RoleFigures:
     process = fleet.discovery if role is Role.DISCOVERY else fleet.counter
     idle, load, gateways = measurement.idle, measurement.load, fleet.plan.fleet_size
-    cpu_s_per_idle_s = idle.cpu_s([process]) / idle.duration_s
+    idle_cpu_s_per_s = idle.cpu_s([process]) / idle.duration_s
     requests_per_s, bytes_per_s = _traffic_per_gateway(load, role, gateways)
     idle_requests_per_s, idle_bytes_per_s = _traffic_per_gateway(idle, role, gateways)
     return RoleFigures(
@@ -189,7 +189,7 @@
         processes=1,
         gateways=gateways,
         cpu_s=load.cpu_s([process]),
-        cpu_us_per_idle_s=cpu_s_per_idle_s / gateways * MICROSECONDS_PER_S,
+        cpu_us_per_idle_s=idle_cpu_s_per_s / gateways * MICROSECONDS_PER_S,
         memory_mb=process.memory_mb(),
         requests_per_s=requests_per_s,
         bytes_per_s=bytes_per_s,
--- a/testbed/simulated_gateways.py
+++ b/testbed/simulated_gateways.py
@@ -107,9 +107,9 @@
         dispatchers: The dispatchers, one for each gateway.
         forwarded_requests: The first attempts of all gateways since `reset_records`.
         requested_units: Units requested by each tenant since `reset_records`.
-        added_latency: Latency beyond the endpoint's service time, of each served request.
+        added_latency: Latency beyond the endpoint's service time, of each served request since the start.
         requests_sent: Number of requests since the start.
-        requests_served: Number of responses with status 200 since the start.
+        requests_served: Number of responses of gateways with status 200 since the start.
         bypass_gateways: Whether to respond to each request at once, without a gateway. This measures the cost
             of load generation itself.
     """
@@ -181,7 +181,11 @@
         return sum(dispatcher.open_connections() for dispatcher in self.dispatchers)
 
     def reset_records(self) -> None:
-        """Clear the records of requests and attempts, but not `requests_sent` and `requests_served`."""
+        """Clear the records since the last call; those since the start of the fleet stay.
+
+        `forwarded_requests`, `requested_units` and `endpoints.attempts_by_endpoint` are cleared, but not
+        `requests_sent`, `requests_served` and `added_latency`.
+        """
         self.forwarded_requests.clear()
         self.requested_units.clear()
         self.endpoints.attempts_by_endpoint.clear()
@@ -208,7 +212,7 @@
         await asyncio.sleep(FINAL_RESPONSE_WAIT_S)
 
     def response_received(self, client: SimulatedClient, status: int) -> None:
-        """Count one response, and record its latency if it has status 200."""
+        """Count a response of a gateway with status 200, and record its added latency."""
         if status == 200 and not self.bypass_gateways:
             self.requests_served += 1
             self.added_latency.record(
