--- a/api_gateway/settings_codec.py
+++ b/api_gateway/settings_codec.py
@@ -252,7 +252,7 @@
     """Check the settings as `Settings.check` does.
 
     Raises:
-        InvalidSettingError: A value is out of range; the error has the key that operators write.
+        InvalidSettingError: A setting is invalid; the error has the key that operators write.
     """
     try:
         settings.check()
--- a/testbed/process.py
+++ b/testbed/process.py
@@ -119,7 +119,7 @@
             self._process.send_signal(signal.SIGTERM)
 
     async def wait_or_kill(self) -> None:
-        """Wait until the process exits; kill it after `EXIT_TIMEOUT_S` or when the wait is canceled."""
+        """Wait until the process exits; kill it after `EXIT_TIMEOUT_S` or when the wait is cancelled."""
         try:
             await asyncio.wait_for(self._process.wait(), EXIT_TIMEOUT_S)
         except (TimeoutError, asyncio.CancelledError):
--- a/testbed/simulated_pool.py
+++ b/testbed/simulated_pool.py
@@ -2,8 +2,8 @@
 
 The pool reuses idle connections and closes them after the same idle time as `ConnectionPool` in
 `api_gateway.network.upstream.pool`, but it only counts them. Each attempt gets its response after a random
-service time. Unlike in that pool, the number of connections is not bounded, a canceled attempt does not close
-its connection, no attempt times out, and one at a draining endpoint ends with CONNECT_FAILED.
+service time. Unlike in that pool, the number of connections is not bounded, a cancelled attempt does not
+close its connection, no attempt times out, and one at a draining endpoint ends with CONNECT_FAILED.
 """
 
 from __future__ import annotations
