--- a/testbed/simulated_pool.py
+++ b/testbed/simulated_pool.py
@@ -2,8 +2,8 @@
 
 The pool reuses idle connections and closes them after the same idle time as `ConnectionPool` in
 `api_gateway.network.upstream.pool`, but it only counts them. Each attempt gets its response after a random
-service time. Unlike in that pool, the number of connections is not bounded, and a canceled attempt does not
-close its connection.
+service time. Unlike in that pool, the number of connections is not bounded, a cancelled attempt does not
+close its connection, no attempt times out, and one at a draining endpoint ends with CONNECT_FAILED.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
         connect_timeout_ms: float,
         idle_timeout_ms: float,
         on_attempt_ended: Callable[[Attempt, AttemptResult, Response | None], None],
-        close_if_abandoned: Callable[[Attempt], bool],
+        close_if_client_disconnected: Callable[[Attempt], bool],
     ) -> None:
         self._endpoints = endpoints
         self._loop, self._on_attempt_ended = loop, on_attempt_ended
