--- a/api_gateway/decisions/counter_health.py
+++ b/api_gateway/decisions/counter_health.py
@@ -39,7 +39,7 @@
 
     @property
     def is_reliable(self) -> bool:
-        """Whether most calls get a response."""
+        """Whether at least about half of the recent calls got a response other than a rejection."""
         return self.response_fraction >= MIN_RELIABLE_RESPONSE_FRACTION
 
     @property
--- a/api_gateway/decisions/tenant_counter_calls.py
+++ b/api_gateway/decisions/tenant_counter_calls.py
@@ -16,15 +16,16 @@
 
     Attributes:
         count_name: Name of the count of the current window; empty before the first window.
-        previous_count_name: Name of the count of the last window; empty before the first window.
-        reported_usage: Units reported in the current window.
+        previous_count_name: Name of the count of the previous window; empty before the first window.
+        reported_units: Units reported in the current window.
         expired_refill: Units of refill that did not fit into the full bucket. They are added to the next
             report, because gateways compute the remaining units as burst + refill - counter value.
         is_call_in_flight: Whether a counter call is in flight.
-        last_call_at_ms: When the last counter call was made, in milliseconds.
-        amount_in_call: Units that the last counter call adds to its count.
+        last_call_at_ms: When the latest counter call was made, in milliseconds.
+        amount_in_call: Units that the latest counter call adds to its count.
         waiting_requests: Requests that wait for a counter value.
-        query_success_fraction: Running fraction of queries that showed enough remaining units, 0 to 1.
+        query_success_fraction: Running fraction of queries after which enough units remained for the first
+            waiting request, 0 to 1.
     """
 
     def __init__(self, quota: TenantQuota, count_prefix: str) -> None:
@@ -32,7 +33,7 @@
         self._count_prefix = count_prefix
         self.count_name = ""
         self.previous_count_name = ""
-        self.reported_usage = 0.0
+        self.reported_units = 0.0
         self.expired_refill = 0.0
         self._expired_refill_in_call = 0.0
         self.is_call_in_flight = False
@@ -42,16 +43,16 @@
         self.query_success_fraction = 1.0
 
     @property
-    def unreported_usage(self) -> float:
-        """Units used in the current window and not reported yet."""
-        return self._quota.local_usage - self.reported_usage
+    def unreported_units(self) -> float:
+        """Units of the current window that are not reported yet."""
+        return self._quota.reportable_units - self.reported_units
 
     def start_window(self, window: int) -> None:
         """Start a window, which has a count of its own."""
         self.count_name = f"{self._count_prefix}.{window}"
         self.previous_count_name = f"{self._count_prefix}.{window - 1}"
         self.expired_refill = 0.0
-        self.reported_usage = 0.0
+        self.reported_units = 0.0
         self.is_call_in_flight = False
 
     def start_call(self, amount: float, now_ms: float) -> None:
@@ -63,15 +64,15 @@
     def take_report_amount(self, usage: float) -> float:
         """Mark usage and the expired refill as reported, and return their sum, the amount to add."""
         amount = usage + self.expired_refill
-        self._quota.local_usage += self.expired_refill
+        self._quota.reportable_units += self.expired_refill
         self._expired_refill_in_call, self.expired_refill = self.expired_refill, 0.0
-        self.reported_usage += amount
+        self.reported_units += amount
         return amount
 
     def undo_call(self) -> None:
         """Mark the amount of a call as not reported, because the counter did not add it."""
-        self.reported_usage -= self.amount_in_call
-        self._quota.local_usage -= self._expired_refill_in_call
+        self.reported_units -= self.amount_in_call
+        self._quota.reportable_units -= self._expired_refill_in_call
 
     def take_waiting_requests(self) -> list[PendingRequest]:
         """Remove and return the waiting requests, and update the query success fraction.
--- a/api_gateway/decisions/tenants.py
+++ b/api_gateway/decisions/tenants.py
@@ -15,7 +15,8 @@
 from api_gateway.model.settings import Plan, Settings
 
 MAX_TENANTS = 8192  # Limits the memory that requests with many different tenant names can take.
-EVICT_AFTER_WINDOWS = 3.0  # A tenant may be evicted after this many windows without a request.
+# A tenant may be evicted after this many windows without a request, or earlier if the table is full.
+EVICT_AFTER_WINDOWS = 3.0
 MAX_TENANTS_EXAMINED = 64  # Limits the time of one search for tenants to evict.
 HASH_BYTES = 8
 
@@ -72,16 +73,19 @@
         return bool(limit) and self.in_flight >= max(1, limit // self.quota.gateway_count)
 
     def is_evictable(self, now_ms: float) -> bool:
-        """Return whether the tenant can be evicted without a change in what it is allowed.
+        """Return whether the tenant may be evicted: no requests are open, and its ceiling share is full.
 
-        A new ceiling share holds the refill since the start of this gateway, so that a share that is not full
-        must not be replaced.
+        A tenant that returns gets a new ceiling share, which holds the refill since the start of this
+        gateway. Therefore only a full share may be discarded. The estimate of the quota is lost.
         """
         is_unused = not self.in_flight and not self.counter_calls.waiting_requests
         return is_unused and self.ceiling.is_full_after(now_ms - self.last_request_at_ms)
 
     def is_idle(self, now_ms: float) -> bool:
-        """Return whether the tenant has sent no request for several windows and may be evicted."""
+        """Return whether the tenant may be evicted and has sent no request for `EVICT_AFTER_WINDOWS`.
+
+        Without a quota, `RATE_TIME_CONSTANT_MS` takes the place of the window length.
+        """
         idle_period_ms = self._window_length_ms or RATE_TIME_CONSTANT_MS
         has_no_recent_request = now_ms - self.last_request_at_ms >= EVICT_AFTER_WINDOWS * idle_period_ms
         return has_no_recent_request and self.is_evictable(now_ms)
@@ -140,7 +144,11 @@
         return max(1, min(request.gateway_count, self._fleet_size))
 
     def find_or_create(self, request: RequestReceived, plan: Plan, now_ms: float) -> Tenant | None:
-        """Return the tenant of a request, which is created if necessary; None if the table is full."""
+        """Return the tenant of a request, which is created if necessary.
+
+        Returns:
+            The tenant; None if the table is full and no tenant was found to evict.
+        """
         key = (request.tenant, plan.name)
         tenant = self._tenants.pop(key, None)
         if tenant is None:
--- a/api_gateway/decisions/usage_reporting.py
+++ b/api_gateway/decisions/usage_reporting.py
@@ -33,7 +33,8 @@
         self._actions = actions
         self._tenants_by_count: dict[str, Tenant] = {}  # Keys are the names of counts.
         self._waiting_requests: dict[str, PendingRequest] = {}  # Keys are request ids.
-        # Ordered set of the tenants with requests that wait, or whose clients disconnected while they waited.
+        # Ordered set of the tenants with requests in `counter_calls.waiting_requests`, which include those of
+        # clients that have disconnected.
         self._waiting_tenants: dict[Tenant, None] = {}
 
     def is_waiting(self, request_id: str) -> bool:
@@ -66,7 +67,10 @@
         return is_uncertain and self._rng.random() < query_probability
 
     def wait_for_counter_value(self, pending: PendingRequest, now_ms: float) -> None:
-        """Let a request wait for a counter value, and query it with the units of the request added."""
+        """Let a request wait for a counter value.
+
+        Unless a call of its tenant is in flight, query the value with the units of the request added.
+        """
         tenant = pending.tenant
         self._waiting_requests[pending.request_id] = pending
         self._waiting_tenants[tenant] = None
@@ -78,15 +82,18 @@
     ) -> None:
         """Report usage if it is due, in batches that become smaller as the tenant approaches its limit.
 
+        Nothing is reported while a call of the tenant is in flight, and usage that is due waits while calls
+        are throttled.
+
         Args:
             tenant: Tenant whose usage is reported.
             now_ms: The current time, in milliseconds.
             reserved_units: Units of a request that waits. The same call reports them and queries the counter
                 value; they are taken back if the request is rejected.
-            is_forced: Whether to report even usage that is not due yet.
+            is_forced: Whether to report even if the usage is not due yet or calls are throttled.
         """
         counter_calls = tenant.counter_calls
-        usage = tenant.quota.local_usage - counter_calls.reported_usage + reserved_units
+        usage = tenant.quota.reportable_units - counter_calls.reported_units + reserved_units
         if not self._is_enabled or tenant.plan.quota_rate <= 0 or counter_calls.is_call_in_flight:
             return
         is_due = self._is_report_due(tenant, usage, now_ms)
@@ -130,7 +137,7 @@
             self._carry_over_debt(tenant, reply.counter_value if is_ok else 0.0, now_ms)
         elif is_ok:
             is_first_report = self._is_first_report_of_window(tenant, reply.counter_value)
-            tenant.quota.record_counter_value(reply.counter_value, counter_calls.reported_usage, now_ms)
+            tenant.quota.record_counter_value(reply.counter_value, counter_calls.reported_units, now_ms)
             if is_first_report and self._query_previous_window(tenant, now_ms):
                 return None
         elif not reply.result.may_have_been_added:
@@ -148,10 +155,11 @@
         )
 
     def _query_previous_window(self, tenant: Tenant, now_ms: float) -> bool:
-        """Query the counter value of the last window, as the first gateway that reports in the current one.
+        """Query the counter value of the previous window, as the first gateway to report in the current one.
 
         Returns:
-            Whether a call was made: not if half of the maximum debt has been refilled, or if throttled.
+            Whether a call was made: not if calls are throttled, or if half of the burst, which is the
+            maximum debt, has been refilled. The debt then counts as 0, and all of the refill as expired.
         """
         plan = tenant.plan
         refill = plan.quota_rate * (now_ms - tenant.quota.window_started_at_ms) / 1000
@@ -191,7 +199,8 @@
     def start_window(self, tenant: Tenant, window: int, started_at_ms: float) -> None:
         """Start a quota window of a tenant.
 
-        Unreported usage of the window just before is charged to it if the counter responds reliably.
+        Unreported units of the previous window are charged to the new one if the counter responds reliably
+        and no window lies between them.
 
         Args:
             tenant: The tenant.
@@ -200,11 +209,11 @@
         """
         is_next = window == tenant.quota.window + 1
         carries_over = self._counter_health.is_reliable and is_next
-        unreported_usage = tenant.counter_calls.unreported_usage if carries_over else 0.0
-        tenant.quota.start_window(window, started_at_ms, unreported_usage)
+        unreported_units = tenant.counter_calls.unreported_units if carries_over else 0.0
+        tenant.quota.start_window(window, started_at_ms, unreported_units)
         tenant.counter_calls.start_window(window)
 
     def ignore_replies(self, tenant: Tenant) -> None:
-        """Ignore further replies to the calls of a tenant's current and last window."""
+        """Ignore further replies to the calls of a tenant's current and previous window."""
         self._tenants_by_count.pop(tenant.counter_calls.count_name, None)
         self._tenants_by_count.pop(tenant.counter_calls.previous_count_name, None)
--- a/tests/test_counter_health.py
+++ b/tests/test_counter_health.py
@@ -55,4 +55,4 @@
     assert actions_of_type(actions, StartAttempt)  # Decided without a further call.
     tenant = driver.gateway.tenants["k", "basic"]
     assert driver.gateway.counter_health.response_fraction == 1.0
-    assert tenant.counter_calls.reported_usage == 2 and not tenant.counter_calls.is_call_in_flight
+    assert tenant.counter_calls.reported_units == 2 and not tenant.counter_calls.is_call_in_flight
