--- a/api_gateway/decisions/attempt_flow.py
+++ b/api_gateway/decisions/attempt_flow.py
@@ -81,7 +81,10 @@
         self._actions.append(action)
 
     def record_attempt_end(self, event: AttemptEnded, now_ms: float) -> None:
-        """Record the result of an attempt, then finish, retry or fail its request."""
+        """Record the result of an attempt, then finish, retry or fail its request.
+
+        A request is retried or fails only if no other attempt of it is in flight.
+        """
         pending = self._pending_requests.get(event.request_id)
         if pending is None or not 0 <= event.attempt < len(pending.attempts):
             return
--- a/api_gateway/decisions/latency.py
+++ b/api_gateway/decisions/latency.py
@@ -77,8 +77,8 @@
             remaining_time_ms: How long its client still waits, in milliseconds.
 
         Returns:
-            The minimum remaining time of a first request, in milliseconds; 0 unless at least a third of the
-            last requests have the same remaining time.
+            The minimum remaining time of a first request, in milliseconds; 0 unless there have been at least
+            `SAMPLED_REQUESTS` / 2 requests, a third of which have about the same remaining time.
         """
         self._remaining_times_ms.append(remaining_time_ms)
         self._requests_since_update += 1
@@ -112,7 +112,7 @@
         self._client_timeouts = {c.name: ClientTimeoutEstimator() for c in classes}
 
     def record_request(self, request: RequestReceived, request_class: RequestClass) -> float:
-        """Record a request, and return the time spent before it in milliseconds; 0 if that is unknown."""
+        """Record a request, and return the time spent before it in milliseconds; 0 if unknown or none."""
         min_full_timeout_ms = self._client_timeouts[request_class.name].record_request(
             request.remaining_time_ms
         )
--- a/api_gateway/decisions/load_sampling.py
+++ b/api_gateway/decisions/load_sampling.py
@@ -22,10 +22,12 @@
 from api_gateway.model.results import AttemptResult
 from api_gateway.model.settings import Settings
 
-# As in SiRED, admission is updated after this many samples if no sweep has updated it before.
+# As in SiRED (see `api_gateway.decisions.admission`), admission is updated after this many samples if no
+# sweep has updated it before.
 MAX_SAMPLES_PER_UPDATE = 125
 
-# A deviation of the attempts in flight from their mean is attributed to random variation up to this limit.
+# A deviation of the number of attempts in flight from its mean counts as random variation up to this many
+# standard deviations.
 DELAY_NOISE_STANDARD_DEVIATIONS = 2.0
 
 UNINFORMATIVE_RESULTS = INTERRUPTED_RESULTS | {
@@ -48,7 +50,8 @@
         traffic: Request rates of the gateway.
         uptime: Time since the gateway started.
         sweep_timer: Detects stalls of this process.
-        log: Log to which load shedding is written.
+        log: Log to which load shedding is written while the admitted fraction is below
+            `OVERLOADED_ADMITTED_FRACTION`.
     """
 
     def __init__(
@@ -103,7 +106,8 @@
         if attempt.started_at_ms < self._sweep_timer.stalled_at_ms or event.result in UNINFORMATIVE_RESULTS:
             return None
         if self._outlier_detector.is_outlier(attempt.endpoint):
-            return None  # Outliers are ejected; their latencies would shed load on all other endpoints.
+            # An outlier's latency says nothing about the others, but would cause their load to be shed, too.
+            return None
         occupancy, class_name = self._admission.occupancy, pending.class_name
         if event.result in (AttemptResult.OK, AttemptResult.ERROR):
             latency_fraction = min(event.duration_ms / pending.request_class.latency_objective_ms, 1.0)
@@ -127,7 +131,7 @@
         """
         occupancy = self._admission.occupancy
         completions = self._traffic.completion_rate * self._uptime.age_ms(now_ms)
-        # A rate that was measured over two or three completions predicts nothing.
+        # A rate that was measured over few completions predicts little.
         confidence = min(completions / (3 * MIN_RELIABLE_SAMPLES), 1.0)
         predicted_delay_ms, delay_noise_ms = self._predicted_delay_ms()
         occupancy.record_response(
--- a/api_gateway/decisions/outlier_detection.py
+++ b/api_gateway/decisions/outlier_detection.py
@@ -1,7 +1,7 @@
 """Outlier detection: ejects endpoints that fail repeatedly, and detects those far slower than the others.
 
-An ejected endpoint is probed by single requests of clients, the first one `EJECTION_BACKOFF_MS` after its
-ejection. Its first success ends the ejection; each failed probe doubles the backoff.
+After a backoff, which is `EJECTION_BACKOFF_MS` at first, an ejected endpoint is probed by single requests of
+clients. Its first success ends the ejection; each failed probe doubles the backoff up to a limit.
 """
 
 from __future__ import annotations
@@ -16,13 +16,14 @@
 EJECTION_BACKOFF_MS = 500.0
 MAX_EJECTION_BACKOFF_MS = 4000.0
 MAX_EJECTION_COUNT = 10
-# An endpoint is ejected after this many errors, resets or, if it is an outlier, timeouts in a row.
+# An endpoint is ejected after this many errors, resets or, if it is an outlier, timeouts without a success
+# between them.
 MAX_CONSECUTIVE_FAILURES = 3
-OUTLIER_MEDIAN_MULTIPLE = 2.5  # multiple of the median latency ratio above which an endpoint is an outlier
-LATENCY_RATIO_WEIGHT = 0.2  # weight of one result in the running mean of the latency ratio
+OUTLIER_MEDIAN_MULTIPLE = 2.5  # Multiple of the median latency ratio above which an endpoint is an outlier.
+LATENCY_RATIO_WEIGHT = 0.2  # Weight of one result in the running mean of the latency ratio.
 MAX_LATENCY_RATIO = 20.0
-MIN_FAILURE_LATENCY_RATIO = 2.0  # least latency ratio that a failed attempt counts with
-PROBES_PER_REQUEST = 0.05  # tokens that each admitted request adds to the probe budget
+MIN_FAILURE_LATENCY_RATIO = 2.0  # Minimum latency ratio that a failed attempt counts with.
+PROBES_PER_REQUEST = 0.05  # Tokens that each forwarded request adds to the probe budget.
 MAX_SAVED_PROBES = 2.0
 
 RESET_RESULTS = frozenset((AttemptResult.CONNECTION_RESET, AttemptResult.NOT_SENT))
@@ -36,7 +37,7 @@
         self.tokens = MAX_SAVED_PROBES
 
     def earn(self) -> None:
-        """Add the tokens for one admitted request."""
+        """Add the tokens for one forwarded request."""
         self.tokens = min(self.tokens + PROBES_PER_REQUEST, MAX_SAVED_PROBES)
 
     def has_token(self) -> bool:
@@ -143,7 +144,7 @@
             self.eject(endpoint, now_ms)
 
     def eject(self, endpoint: EndpointState, now_ms: float) -> None:
-        """Eject an endpoint, or double its backoff after a failed probe."""
+        """Eject an endpoint, or double its backoff after a failed probe; do nothing during its backoff."""
         if endpoint.is_ejected and now_ms < endpoint.next_probe_at_ms:
             return
         backoff_ms = min(EJECTION_BACKOFF_MS * 2**endpoint.ejection_count, MAX_EJECTION_BACKOFF_MS)
--- a/api_gateway/decisions/pending_requests.py
+++ b/api_gateway/decisions/pending_requests.py
@@ -42,8 +42,8 @@
         request: The event that it was received with.
         request_class: Its class.
         tenant: The tenant that is charged for it.
-        weight_ends_at_ms: When a response loses all weight: after the latency objective, or at the deadline
-            if late responses have a weight.
+        weight_ends_at_ms: When a response loses all weight: at the deadline, or earlier if late responses
+            have no weight and the latency objective passes before it.
         deadline_at_ms: Time at which the client stops waiting.
 
     Attributes:
--- a/api_gateway/decisions/request_flow.py
+++ b/api_gateway/decisions/request_flow.py
@@ -20,10 +20,11 @@
 from api_gateway.model.results import CounterResult, RejectReason
 from api_gateway.model.settings import Plan, RequestClass, Settings
 
-# Requests over their quota are admitted below this fraction of the occupancy at which load shedding begins.
+# Requests that exceed a limit of their plan may be served below this fraction of the occupancy at which load
+# shedding begins.
 OVER_QUOTA_OCCUPANCY_FRACTION = 0.5
-# A request waits for a counter value only if the remaining time until a response loses all weight exceeds the
-# counter's timeout by this many sweep intervals, since overdue replies are only detected at sweeps.
+# A request waits for a counter value only if a response still has weight (see `PendingRequest`) this many
+# sweep intervals after the counter's timeout, since overdue replies are only detected at sweeps.
 MIN_SPARE_SWEEPS = 2
 
 
@@ -90,7 +91,7 @@
     def receive(self, request: RequestReceived, now_ms: float) -> None:
         """Decide on a request at once, or let it wait for the counter value of its tenant.
 
-        A request whose id is still pending or waiting is ignored.
+        A request is ignored if one with the same id waits for a counter value or is in `PendingRequests`.
         """
         if request.request_id in self._pending_requests or self._usage_reporter.is_waiting(
             request.request_id
@@ -140,7 +141,10 @@
     def _weight_ends_at_ms(
         self, request: RequestReceived, request_class: RequestClass, deadline_at_ms: float, now_ms: float
     ) -> float:
-        """Return when a response loses all weight: at the deadline if late responses have a weight."""
+        """Return when a response loses all weight (see `PendingRequest`).
+
+        The latency objective of a retry has begun with the client's earlier requests.
+        """
         if request_class.late_priority_weight > 0:
             return deadline_at_ms
         spent_ms = self._earlier_request_time.record_request(request, request_class)
@@ -150,7 +154,7 @@
         """Return the tenant of a request; None if the table is full.
 
         If a new quota window has begun, this first decides on the requests that wait for a counter value of
-        the last one, and then starts the new one.
+        the previous one, and then starts the new one.
         """
         tenant = self._tenants.find_or_create(request, plan, now_ms)
         if tenant is None:
@@ -176,33 +180,35 @@
             now_ms: The current time.
             is_already_admitted: Whether admission control has already admitted it.
         """
-        violation = self._quota_violation(pending, now_ms)
-        reason = self._rejection_reason(pending, violation, now_ms, is_already_admitted=is_already_admitted)
+        exceeded_limit = self._exceeded_limit(pending, now_ms)
+        reason = self._rejection_reason(
+            pending, exceeded_limit, now_ms, is_already_admitted=is_already_admitted
+        )
         if reason is None:
-            reason = self._forward(pending, now_ms, exceeds_limit=violation is not None)
+            reason = self._forward(pending, now_ms, exceeds_limit=exceeded_limit is not None)
         if reason is not None:
-            self._reject_without_attempt(pending, reason, exceeds_limit=violation is not None)
+            self._reject_without_attempt(pending, reason, exceeds_limit=exceeded_limit is not None)
 
     def _rejection_reason(
         self,
         pending: PendingRequest,
-        violation: RejectReason | None,
+        exceeded_limit: RejectReason | None,
         now_ms: float,
         *,
         is_already_admitted: bool,
     ) -> RejectReason | None:
-        """Return why a request must not be forwarded (its quota, load shedding or ceiling), or None."""
-        if violation is not None and not self._may_be_served_over_quota(pending.tenant.plan):
-            return violation
+        """Return why a request must not be forwarded (limit of its plan, load shedding, ceiling), or None."""
+        if exceeded_limit is not None and not self._may_be_served_over_limit(pending.tenant.plan):
+            return exceeded_limit
         # Requests that exceed a limit skip admission control: they are only served while the occupancy is
         # well below that at which load shedding begins.
-        if violation is None and not is_already_admitted and not self._is_admitted(pending):
+        if exceeded_limit is None and not is_already_admitted and not self._is_admitted(pending):
             return RejectReason.LOAD_SHED
         if not self._is_within_ceiling(pending, now_ms):
             return RejectReason.CEILING
         return None
 
-    def _quota_violation(self, pending: PendingRequest, now_ms: float) -> RejectReason | None:
+    def _exceeded_limit(self, pending: PendingRequest, now_ms: float) -> RejectReason | None:
         """Return which limit of its plan a request exceeds, concurrent requests or quota, or None."""
         tenant = pending.tenant
         if tenant.is_at_concurrency_limit():
@@ -211,14 +217,14 @@
             return RejectReason.OVER_QUOTA
         return None
 
-    def _may_be_served_over_quota(self, plan: Plan) -> bool:
-        """Whether requests over the quota are worth their cost, and the back end has spare capacity."""
+    def _may_be_served_over_limit(self, plan: Plan) -> bool:
+        """Whether requests over a limit are worth their cost, and the back end has spare capacity."""
         threshold = OVER_QUOTA_OCCUPANCY_FRACTION * MIN_SHED_OCCUPANCY
         is_worthwhile = plan.over_quota_weight > plan.over_quota_cost
         return is_worthwhile and self._admission.occupancy.smoothed < threshold
 
     def _is_admitted(self, pending: PendingRequest) -> bool:
-        """Whether admission control admits the request; must be called once for each request."""
+        """Whether admission control admits the request; must be called at most once for each request."""
         per_unit_ms = self._latency.per_unit_ms(pending.class_name)
         return self._admission.admit(pending.request_class, pending.tenant.plan, per_unit_ms, pending.units)
 
@@ -227,7 +233,7 @@
         return tenant.ceiling.admits(pending.units, tenant.quota.gateway_count, now_ms)
 
     def _forward(self, pending: PendingRequest, now_ms: float, *, exceeds_limit: bool) -> RejectReason | None:
-        """Start the first attempt of an admitted request; return why that is impossible, or None."""
+        """Start the first attempt of a request; return why that is impossible, or None."""
         pending.work_ms = self._latency.per_unit_ms(pending.class_name) * max(pending.units, 0.0)
         self._traffic.record_admitted(pending.work_ms)
         if pending.weight_ends_at_ms <= now_ms:
@@ -277,7 +283,7 @@
     ) -> None:
         """Reject a request without an attempt.
 
-        If it exceeds a limit of its plan, Retry-After covers the refill of its units.
+        If it exceeds a limit of its plan, Retry-After covers the refill of its units, if there is a quota.
         """
         rate = pending.tenant.plan.quota_rate
         refill_ms = 1000 * pending.units / rate if exceeds_limit and rate else 0.0
--- a/api_gateway/decisions/retry.py
+++ b/api_gateway/decisions/retry.py
@@ -13,15 +13,15 @@
 from api_gateway.model.results import AttemptResult
 from api_gateway.model.settings import Idempotency, KeyScope, Settings
 
-RETRIES_PER_REQUEST = 0.2  # tokens that each admitted request adds to the retry budget
+RETRIES_PER_REQUEST = 0.2  # Tokens that each forwarded request adds to the retry budget.
 MAX_SAVED_RETRIES = 10.0
 # With a higher fraction of lost responses, attempts that may be retried get a shorter timeout.
 MAX_LOST_RESPONSE_FRACTION = 0.06
 MIN_TIMEOUT_MS = 1.0
 MIN_EXPECTED_LATENCY_MS = 1e-6
 
-# Results of attempts that ended early. They show nothing about the load, and a retry costs only the fraction
-# of the request's work for which the attempt lasted.
+# Results of attempts that ended early. They show nothing about the load, and a retry costs only the duration
+# of the attempt as a fraction of the expected latency.
 INTERRUPTED_RESULTS = frozenset(
     (
         AttemptResult.CONNECT_FAILED,
@@ -40,7 +40,7 @@
         self.tokens = MAX_SAVED_RETRIES
 
     def earn(self) -> None:
-        """Add the tokens for one admitted request."""
+        """Add the tokens for one forwarded request."""
         self.tokens = min(self.tokens + RETRIES_PER_REQUEST, MAX_SAVED_RETRIES)
 
     def covers(self, cost: float) -> bool:
@@ -70,9 +70,9 @@
     def is_attempt_allowed(self, pending: PendingRequest, endpoint: EndpointState, now_ms: float) -> bool:
         """Whether a request may be sent to an endpoint now.
 
-        The endpoint must be up and the request unfinished, with fewer attempts than the maximum. Without
-        hedging, no other attempt may be in flight. After an attempt that may have run, the class must allow a
-        retry at this endpoint and time.
+        The endpoint must be up. The request must be unfinished, with fewer attempts than the maximum, and
+        without a streamed response that has begun. Without hedging, no other attempt may be in flight. After
+        an attempt that may have run, the class must allow a retry at this endpoint and time.
         """
         settings = self._settings
         if not endpoint.is_up or len(pending.attempts) >= settings.max_attempts:
@@ -153,7 +153,11 @@
         )
 
     def retry_cost(self, pending: PendingRequest, event: AttemptEnded) -> float:
-        """Return the cost of a retry: the fraction of the request's work that the last attempt has used."""
+        """Return the cost of a retry.
+
+        It is 1; after an interrupted attempt, it is that attempt's duration as a fraction of the expected
+        latency, at most 1.
+        """
         if event.result not in INTERRUPTED_RESULTS:
             return 1.0
         return min(event.duration_ms / max(self._expected_latency_ms(pending), MIN_EXPECTED_LATENCY_MS), 1.0)
