--- a/api_gateway/decisions/admission.py
+++ b/api_gateway/decisions/admission.py
@@ -62,7 +62,7 @@
     """The requests of one class and plan, and the fraction of them that is admitted.
 
     Attributes:
-        weight_per_work: Priority weight of the last request for one millisecond of typical latency.
+        weight_per_work: Priority weight of the latest request for one millisecond of typical latency.
         work_ms: Recent work, in milliseconds of typical latency.
         accumulator: Sum of the admitted fractions, less 1 for each request admitted.
         admitted_fraction: Fraction of the requests to admit, from `MIN_ADMITTED_FRACTION` to 1.
--- a/api_gateway/decisions/endpoints.py
+++ b/api_gateway/decisions/endpoints.py
@@ -56,7 +56,10 @@
 
     @property
     def is_ejected(self) -> bool:
-        """Whether it is ejected; it then gets only probes, until one succeeds."""
+        """Whether it is ejected; it then gets only probes, or attempts as a last resort.
+
+        This ends when an attempt succeeds or the endpoint list shows a later start.
+        """
         return self.ejection_count > 0
 
     def update(self, entry: Endpoint) -> None:
--- a/api_gateway/decisions/selection.py
+++ b/api_gateway/decisions/selection.py
@@ -14,15 +14,17 @@
 from api_gateway.decisions.subset_sizing import SubsetSizer
 from api_gateway.model.settings import Idempotency
 
-CONNECT_PENALTY = 1.7  # factor on the load score of an endpoint that needs a new connection in sparse traffic
-RETRY_PENALTY = 4  # factor on the load score of an endpoint that the request has been sent to before
+# Factor on the load score of an endpoint that needs a new connection in sparse traffic.
+CONNECT_PENALTY = 1.7
+# Factor on the load score of an endpoint that the request has been sent to before.
+RETRY_PENALTY = 4
 # Latency is partly noise; with an exponent of 1 all gateways would select the same endpoint.
 LATENCY_EXPONENT = 0.5
 # The tie-break factor on the load score lies between 1.0 and 1.4; it falls by TIE_BREAK_WEIGHT for each visit
 # interval since the last attempt.
 TIE_BREAK_BASE = 1.3
-TIE_BREAK_WEIGHT = 0.1  # weight of the random term, and of each visit interval since the last attempt
-MAX_COUNTED_INTERVALS = 3.0  # visit intervals that count at most
+TIE_BREAK_WEIGHT = 0.1  # Weight of the random term, and of each visit interval since the last attempt.
+MAX_COUNTED_INTERVALS = 3.0  # Maximum number of visit intervals that count.
 
 
 class EndpointSelector:
@@ -35,7 +37,7 @@
         slow_start: Budgets of the endpoints in slow start.
         retry_policy: Decides where an attempt is allowed.
         probe_budget: Token bucket of probes of ejected endpoints.
-        rng: Source of the random draws that break ties.
+        rng: Source of the random draws that decide between similar load scores.
     """
 
     def __init__(
@@ -152,8 +154,8 @@
     ) -> EndpointState | None:
         """Select the least loaded of the given endpoints that are not ejected.
 
-        Those without a recent attempt are preferred. The gateway's own zone is not: if most traffic came from
-        one zone, its endpoints would carry nearly all of the load.
+        Among similarly loaded ones, those without a recent attempt are preferred. The gateway's own zone is
+        not: if most traffic came from one zone, its endpoints would carry nearly all of the load.
         """
         best: EndpointState | None = None
         best_score = 0.0
@@ -170,10 +172,12 @@
         return best
 
     def _score(self, endpoint: EndpointState, now_ms: float) -> float:
-        """Return the load score of an endpoint: attempts in flight, times latency, divided by weight.
+        """Return the load score of an endpoint; the lowest score is the best.
 
-        Ties are broken at random and by the time since the last attempt. Visiting the endpoints in turn keeps
-        connections to all of them open, and gives an endpoint that was slow by chance another request.
+        It is the number of attempts in flight, including the new one, times the square root of the latency
+        ratio, divided by the weight. The tie-break factor decides between similar scores, at random and by
+        the time since the last attempt. Visiting the endpoints in turn keeps connections to all of them
+        open, and gives an endpoint that was slow by chance another request.
         """
         slowness: float = endpoint.latency_ratio**LATENCY_EXPONENT
         score = (endpoint.in_flight + 1) * slowness / endpoint.weight
--- a/api_gateway/decisions/slow_start.py
+++ b/api_gateway/decisions/slow_start.py
@@ -2,11 +2,11 @@
 
 Work is measured in milliseconds of typical latency. Each gateway has a token bucket of work for each endpoint
 in slow start. Its refill rate follows the rate of work that this gateway sends to a warm endpoint, times the
-fraction of capacity that the endpoint already has; so the budgets of all gateways add up to that fraction of
-what the fleet sends to a warm endpoint.
+fraction of capacity that the endpoint already has; so the budgets of all gateways add up to at most that
+fraction of what the fleet sends to a warm endpoint.
 
-A gateway that has not measured a rate yet sends single requests in time slots, which the gateways take in
-turn by their common clock.
+In its first `RATE_TIME_CONSTANT_MS`, a gateway that has not measured a rate yet sends single requests in time
+slots, which the gateways take in turn by their common clock.
 """
 
 from __future__ import annotations
@@ -23,7 +23,8 @@
 from api_gateway.decisions.uptime import Uptime
 from api_gateway.model.settings import Settings
 
-# Fraction of the budget that is used: capacity is an estimate, and other gateways may send more.
+# The budgets reach at most this fraction of the load that overloads an endpoint: capacity is an estimate, and
+# other gateways may send more.
 BUDGET_SAFETY_FACTOR = 0.5
 MIN_CAPACITY_FRACTION = 0.01
 
@@ -60,7 +61,10 @@
         self._rng = rng
 
     def capacity_fraction(self, endpoint: EndpointState, now_ms: float) -> float:
-        """Return a lower bound of the fraction of its full capacity that an endpoint has now, from 0 to 1."""
+        """Return the fraction of its full capacity that an endpoint is assumed to have now, from 0 to 1.
+
+        It rises linearly during the slow start.
+        """
         settings = self._settings
         age_ms = now_ms - endpoint.slow_start_began_at_ms
         if (
@@ -122,15 +126,15 @@
         """Use up the current time slot of an endpoint if it is this gateway's; return whether that succeeded.
 
         Any endpoint can serve one request at a time, so a slot lasts as long as a request at the endpoint's
-        current capacity. Its length is rounded up to a power of two; with other lengths, slots of different
-        gateways would overlap.
+        current capacity. Its length is rounded up to a power of two, so that gateways with similar latencies
+        use the same length: slots of different lengths overlap.
         """
         longest_latency_ms = max(self._latency.slowest_ms() / max(fraction, MIN_CAPACITY_FRACTION), 1.0)
         slot_length_ms = 2.0 ** math.ceil(math.log2(longest_latency_ms))
         slot = int(now_ms / slot_length_ms) + stable_hash(endpoint.name)
         coverage = self._settings.fleet_size * len(self._subset) / max(len(self._endpoint_table.ring), 1)
-        gateway_count = max(round(coverage), 1)
-        is_own = slot % gateway_count == self._settings.gateway_index % gateway_count
+        gateways_per_endpoint = max(round(coverage), 1)
+        is_own = slot % gateways_per_endpoint == self._settings.gateway_index % gateways_per_endpoint
         if slot == endpoint.last_time_slot or not is_own:
             return False
         endpoint.last_time_slot = slot
--- a/api_gateway/decisions/subset.py
+++ b/api_gateway/decisions/subset.py
@@ -1,7 +1,7 @@
 """Subset of the endpoints that one gateway sends requests to: those that follow its position on the ring.
 
-It contains as many warm endpoints as its target size, and the endpoints between them on the ring that are in
-slow start or ejected.
+It contains as many warm endpoints as its target size, if so many are found within a limit, and the endpoints
+between them on the ring that are in slow start (up to a limit) or ejected.
 """
 
 from __future__ import annotations
@@ -15,16 +15,17 @@
 from api_gateway.decisions.ring import gateway_position
 from api_gateway.model.settings import Settings
 
-TARGET_VISIT_INTERVAL_MS = 500.0  # the subset is sized for one request to each endpoint in this time
+TARGET_VISIT_INTERVAL_MS = 500.0  # The subset is sized for one request to each endpoint in this time.
 MIN_SUBSET_SIZE = 6
 MAX_SUBSET_SIZE = 256
-MIN_RESIZE_FACTOR = 1.25  # smaller changes of the size are ignored, since each change costs connections
-MAX_CANDIDATES = 32  # endpoints compared for one request; the best of 32 is about as good as the best of all
+MIN_RESIZE_FACTOR = 1.25  # Smaller changes of the size are ignored, since each one costs connections.
+# Maximum number of endpoints compared for one request; the best of 32 is about as good as the best of all.
+MAX_CANDIDATES = 32
 # The walk on the ring ends after MAX_WALK_FACTOR * target size + MAX_WALK_EXTRA endpoints, unless all of them
 # are ejected.
 MAX_WALK_FACTOR = 8
 MAX_WALK_EXTRA = 64
-MAX_WARMING_UP_FACTOR = 2  # maximum number of endpoints in slow start, as a multiple of the target size
+MAX_WARMING_UP_FACTOR = 2  # Maximum number of endpoints in slow start, as a multiple of the target size.
 
 
 class EndpointSubset:
@@ -37,7 +38,7 @@
 
     Attributes:
         target_size: Number of warm endpoints to select.
-        visit_interval_ms: Time in which each endpoint gets one request on average.
+        visit_interval_ms: Time in which each warm endpoint gets one request on average, up to a limit.
         warm: Endpoints at full capacity that are not ejected.
         warming_up: Endpoints in slow start that are not ejected.
         ejected: Ejected endpoints.
@@ -68,7 +69,11 @@
         return chain(self.warm, self.warming_up, self.ejected)
 
     def resize(self, target_size: float) -> None:
-        """Set the target size, within its limits; ignore small changes, since each one costs connections."""
+        """Set the target size, within its limits.
+
+        Small changes are ignored, since each one costs connections, unless fewer than `MIN_SUBSET_SIZE`
+        endpoints are warm.
+        """
         target_size = min(max(target_size, MIN_SUBSET_SIZE), MAX_SUBSET_SIZE)
         is_large_change = (
             target_size > MIN_RESIZE_FACTOR * self.target_size
@@ -93,7 +98,7 @@
         return self
 
     def _select(self, now_ms: float) -> None:
-        """Walk the ring from this gateway's position until there are enough warm endpoints."""
+        """Walk the ring from this gateway's position up to enough warm endpoints, or up to a limit."""
         previously_warm = set(self.warm)
         warm: list[EndpointState] = []
         warming_up: list[EndpointState] = []
--- a/api_gateway/decisions/subset_sizing.py
+++ b/api_gateway/decisions/subset_sizing.py
@@ -10,11 +10,11 @@
 # each gateway suffices for a request to each endpoint of its subset in SPARSE_VISIT_INTERVAL_MS.
 TARGET_COVERAGE = 2.0
 SPARSE_VISIT_INTERVAL_MS = 1200.0
-GROWTH_FACTOR = 1.02  # factor on the scale of the subset at each sweep while overloaded
-SHRINK_FACTOR = 0.99  # factor on the scale of the subset at each sweep while not overloaded
-MAX_SCALE = 4.0  # the scale multiplies the size that the traffic alone calls for
-OVERLOADED_ADMITTED_FRACTION = 0.9  # the back end counts as overloaded below this admitted fraction
-MAX_VISIT_INTERVAL_FACTOR = 10  # longest visit interval, as a multiple of the target
+GROWTH_FACTOR = 1.02  # Factor on the scale of the subset at each sweep while overloaded.
+SHRINK_FACTOR = 0.99  # Factor on the scale of the subset at each sweep while not overloaded.
+MAX_SCALE = 4.0  # The scale multiplies the size that the traffic alone calls for.
+OVERLOADED_ADMITTED_FRACTION = 0.9  # The back end counts as overloaded below this admitted fraction.
+MAX_VISIT_INTERVAL_FACTOR = 10  # Longest visit interval, as a multiple of the target.
 # A connection that has been idle for up to this fraction of the idle timeout is assumed to be open.
 REUSABLE_FRACTION_OF_IDLE_TIMEOUT = 0.45
 # Traffic is sparse if an endpoint gets fewer requests than this while an idle connection stays reusable. The
--- a/api_gateway/decisions/traffic.py
+++ b/api_gateway/decisions/traffic.py
@@ -20,7 +20,8 @@
             miss their objective even on idle endpoints.
         warm_work_rate: Work sent to a warm endpoint per millisecond, as the mean over the warm endpoints.
         attempt_rate: Attempts per millisecond.
-        admitted_work_rate: Work admitted per millisecond, whether or not an endpoint was available for it.
+        admitted_work_rate: Work of requests that may be forwarded, per millisecond, whether or not an
+            endpoint was available for it.
     """
 
     def __init__(self) -> None:
@@ -39,7 +40,7 @@
         self._completions += 1
 
     def record_admitted(self, work_ms: float) -> None:
-        """Record the work of an admitted request."""
+        """Record the work of a request that may be forwarded."""
         self._admitted_work += work_ms
 
     def record_attempt(self) -> None:
--- a/api_gateway/decisions/uptime.py
+++ b/api_gateway/decisions/uptime.py
@@ -6,7 +6,7 @@
 
 SWEEP_TIMER = "sweep"
 SWEEP_INTERVAL_MS = 100.0
-STALL_INTERVALS = 2.0  # the process has stalled if a sweep is late by more than this many intervals
+STALL_INTERVALS = 2.0  # The process has stalled if a sweep is late by more than this many intervals.
 
 
 class Uptime:
--- a/tests/support/gateway_driver.py
+++ b/tests/support/gateway_driver.py
@@ -203,7 +203,9 @@
     after_ms: float = 0.0,
     previous_counter_value: float = 0.0,
 ) -> list[Action]:
-    """Send a request, and reply to its counter calls.
+    """Send a request of the plan "basic" that names 20 gateways, and reply to its counter call.
+
+    If the gateway then queries the counter value of the previous window, reply to that call, too.
 
     Args:
         driver: The gateway.
--- a/tests/support/quota_simulation.py
+++ b/tests/support/quota_simulation.py
@@ -98,7 +98,7 @@
         fleet_size: int,
         gateways_per_tenant: int,
         load_factors: tuple[float, ...],
-        first_gateway_share: float = 0.0,
+        first_gateway_fraction: float = 0.0,
     ) -> None:
         """Start all gateways with the full endpoint list.
 
@@ -108,15 +108,15 @@
             fleet_size: Number of gateways.
             gateways_per_tenant: Number of gateways that each tenant's requests go to.
             load_factors: Requested units of each tenant, as a multiple of its quota.
-            first_gateway_share: Share of each tenant's requests that go to its first gateway, from 0 to 1.
-                Each other request goes to a random one of its gateways.
+            first_gateway_fraction: Fraction of each tenant's requests that go to its first gateway without a
+                draw. Each other request goes to a random one of its gateways, including the first.
         """
         super().__init__(random.Random(seed), 1e6 + 1e4 * seed)
         self.requests = 0
         self.rejected_within_quota = 0
         self._plan, self._load_factors = plan, load_factors
         self._gateways_per_tenant = gateways_per_tenant
-        self._first_gateway_share = first_gateway_share
+        self._first_gateway_fraction = first_gateway_fraction
         common_settings = settings(
             plans=(plan,),
             fleet_size=fleet_size,
@@ -159,7 +159,7 @@
 
     @property
     def units_allowed(self) -> float:
-        """Units that the quotas allow, given the mean number of units requested."""
+        """Units within the quotas: each tenant's mean requested units, at most its refill plus the burst."""
         elapsed_s = (self.now_ms - self.started_at_ms) / 1000
         rate, burst = self._plan.quota_rate, self._plan.quota_burst
         return sum(
@@ -188,7 +188,7 @@
 
     def _draw_gateway(self, tenant: int) -> int:
         offset = 0
-        if self.rng.random() >= self._first_gateway_share:
+        if self.rng.random() >= self._first_gateway_fraction:
             offset = self.rng.randrange(self._gateways_per_tenant)
         return (self._first_gateway[tenant] + offset) % len(self._gateways)
 
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -110,8 +110,8 @@
     assert not partial_outage.driver.gateway.subset.ejected
 
 
-def test_a_subset_grows_after_the_loss_of_a_zone() -> None:
-    """Half of the endpoints become unreachable; most requests are served at once, and soon all of them."""
+def test_requests_are_served_after_the_loss_of_a_zone() -> None:
+    """Half of the endpoints fail; most requests of the first second are served, and all of them after 2 s."""
     partial_outage = PartialOutage(200, 100)
     for _ in range(60):
         partial_outage.send_request()
@@ -139,7 +139,8 @@
 def test_every_endpoint_is_in_some_subset() -> None:
     """Subsets sized by traffic alone could leave endpoints that no gateway sends requests to.
 
-    With 20 endpoints per gateway, and traffic for subsets of 15, the subsets cover the ring twice.
+    With 20 endpoints per gateway, and traffic for subsets of 15, the subsets are enlarged, so that they cover
+    the ring at least 1.5 times.
     """
     reached: dict[str, int] = {}
     for index in range(10):
--- a/tests/test_usage_reporting.py
+++ b/tests/test_usage_reporting.py
@@ -28,7 +28,7 @@
     """A request must not get lost while it waits for a counter call, even one that times out."""
     driver = GatewayDriver()
     send_requests(driver, 5, plan="basic")
-    # The estimate does not allow the request, but the last counter value leaves one unit.
+    # The estimate does not allow the request, but the latest counter value leaves one unit.
     driver.gateway.tenants["c", "basic"].quota.remaining = 0.0
     request_id, actions = driver.send_request(plan="basic")
     assert (
@@ -50,6 +50,7 @@
         driver = GatewayDriver()
         driver.send_request(plan="basic")
         driver.gateway.counter_health.response_fraction = response_fraction
+        # Below the fraction of calls made while the counter responds, above it otherwise.
         driver.gateway.rng.random = lambda: 0.5
         driver.deliver(CounterReply(counter_calls(driver)[0].name, CounterResult.OK, 100.0))
         assert [c.amount for c in counter_calls(driver)] == amounts
@@ -118,7 +119,7 @@
         previous_counter_value=previous_counter_value,
     )
     amounts = [a.amount for a in actions if isinstance(a, IncrementCounter)]
-    assert amounts[:2] == [1, 0], "its own unit, then a query of the count of the last window"
+    assert amounts[:2] == [1, 0], "its own unit, then a query of the count of the previous window"
     assert sum(amounts) == pytest.approx(min(previous_counter_value - 12, 6)), (
         "the debt is what exceeds 12 refilled units, at most the burst"
     )
