--- a/api_gateway/decisions/gateway.py
+++ b/api_gateway/decisions/gateway.py
@@ -252,7 +252,7 @@
     def _is_overloaded(self) -> bool:
         """Whether load is shed, most endpoints are ejected, or many attempts are in flight.
 
-        Many are more than one attempt for every two warm endpoints of the subset.
+        More than one attempt for every two warm endpoints of the subset counts as many.
         """
         is_shedding = self.admission.admitted_fraction < OVERLOADED_ADMITTED_FRACTION
         is_loaded = 2 * self.pending_requests.attempts_in_flight > len(self.subset.warm)
