--- a/api_gateway/decisions/gateway.py
+++ b/api_gateway/decisions/gateway.py
@@ -234,8 +234,8 @@
         The size of the subset depends on the admitted fraction and the attempt rate, so it comes after
         them.
         """
-        elapsed_ms, age_ms = self.sweep_timer.elapsed_ms(now_ms), self.uptime.age_ms(now_ms)
-        decay_factor = self.traffic.sweep_completions(elapsed_ms, age_ms)
+        elapsed_ms, uptime_ms = self.sweep_timer.elapsed_ms(now_ms), self.uptime.elapsed_ms(now_ms)
+        decay_factor = self.traffic.sweep_completions(elapsed_ms, uptime_ms)
         subset = self.subset.refresh(now_ms)
         self.outlier_detector.sweep(subset, len(subset.ejected))
         self.traffic.sweep_warm_work(elapsed_ms, decay_factor, len(subset.warm))
@@ -243,7 +243,7 @@
             self.pending_requests.attempts_in_flight / max(len(self.endpoints), 1), decay_factor
         )
         self.load_sampler.update_admission(now_ms)
-        self.traffic.sweep_attempts(elapsed_ms, age_ms)
+        self.traffic.sweep_attempts(elapsed_ms, uptime_ms)
         self.subset_sizer.sweep(len(self.endpoints.ring), self._is_overloaded())
         self.request_flow.decide_on_overdue_requests(now_ms)
         self.tenants.evict_idle(now_ms)
@@ -252,7 +252,7 @@
     def _is_overloaded(self) -> bool:
         """Whether load is shed, most endpoints are ejected, or many attempts are in flight.
 
-        More than one attempt for every two warm endpoints of the subset counts as many.
+        The number of attempts is high if it exceeds half the number of warm endpoints in the subset.
         """
         is_shedding = self.admission.admitted_fraction < OVERLOADED_ADMITTED_FRACTION
         is_loaded = 2 * self.pending_requests.attempts_in_flight > len(self.subset.warm)
--- a/api_gateway/decisions/load_sampling.py
+++ b/api_gateway/decisions/load_sampling.py
@@ -130,7 +130,7 @@
             now_ms: The current time, in milliseconds.
         """
         occupancy = self._admission.occupancy
-        completions = self._traffic.completion_rate * self._uptime.age_ms(now_ms)
+        completions = self._traffic.completion_rate * self._uptime.elapsed_ms(now_ms)
         # A rate that was measured over few completions predicts little.
         confidence = min(completions / (3 * MIN_RELIABLE_SAMPLES), 1.0)
         predicted_delay_ms, delay_noise_ms = self._predicted_delay_ms()
--- a/api_gateway/decisions/ring.py
+++ b/api_gateway/decisions/ring.py
@@ -1,8 +1,8 @@
 """Ring of endpoints and gateways that all gateways compute alike without communication.
 
 Each gateway sends its requests to the endpoints that follow its own position on the ring. A decision
-therefore costs the same with 50 endpoints as with 11,000, and gateways do not select the same few endpoints
-by chance.
+therefore costs the same with 50 endpoints as with 11,000, and gateways do not concentrate on the same
+few endpoints.
 
 Source: the rings of Finagle's deterministic aperture, as described in its public documentation.
 """
--- a/api_gateway/decisions/selection.py
+++ b/api_gateway/decisions/selection.py
@@ -176,8 +176,8 @@
 
         It is the number of attempts in flight, including the new one, times the square root of the latency
         ratio, divided by the weight. The tie-break factor decides between similar scores, at random and by
-        the time since the last attempt. Visiting the endpoints in turn keeps connections to all of them
-        open, and gives an endpoint that was slow by chance another request.
+        the time since the last attempt. Visiting the endpoints round robin keeps connections to all of them
+        open, and gives an endpoint that was slow only once another request.
         """
         slowness: float = endpoint.latency_ratio**LATENCY_EXPONENT
         score = (endpoint.in_flight + 1) * slowness / endpoint.weight
--- a/api_gateway/decisions/slow_start.py
+++ b/api_gateway/decisions/slow_start.py
@@ -6,7 +6,7 @@
 fraction of what the fleet sends to a warm endpoint.
 
 In its first `RATE_TIME_CONSTANT_MS`, a gateway that has not measured a rate yet sends single requests in time
-slots, which the gateways take in turn by their common clock.
+slots, which the gateways use round robin by their common clock.
 """
 
 from __future__ import annotations
@@ -90,7 +90,7 @@
         fraction = self.capacity_fraction(endpoint, now_ms)
         if fraction >= 1:
             return True
-        if self._traffic.warm_work_rate <= 0 and self._uptime.age_ms(now_ms) < RATE_TIME_CONSTANT_MS:
+        if self._traffic.warm_work_rate <= 0 and self._uptime.elapsed_ms(now_ms) < RATE_TIME_CONSTANT_MS:
             return endpoint.in_flight == 0 and self._claim_time_slot(endpoint, fraction, now_ms)
         self._refill(endpoint, fraction, now_ms)
         endpoint.slow_start_budget = round_randomly(endpoint.slow_start_budget, work_ms, self._rng)
--- a/api_gateway/decisions/subset.py
+++ b/api_gateway/decisions/subset.py
@@ -1,7 +1,7 @@
 """Subset of the endpoints that one gateway sends requests to: those that follow its position on the ring.
 
-It contains as many warm endpoints as its target size, if so many are found within a limit, and the endpoints
-between them on the ring that are in slow start (up to a limit) or ejected.
+A walk on the ring adds warm endpoints until the target size or a limit on the walk is reached. The endpoints
+that it passes in slow start (up to a limit) or ejected are in the subset, too.
 """
 
 from __future__ import annotations
@@ -84,7 +84,7 @@
             self.target_size = target_size
 
     def refresh(self, now_ms: float) -> EndpointSubset:
-        """Select the endpoints anew if the table or the size has changed, or an endpoint has become warm.
+        """Select the endpoints again if the table or the size has changed, or an endpoint has become warm.
 
         Returns:
             The subset itself.
@@ -98,7 +98,7 @@
         return self
 
     def _select(self, now_ms: float) -> None:
-        """Walk the ring from this gateway's position up to enough warm endpoints, or up to a limit."""
+        """Walk the ring from this gateway's position until the target size or the limit on the walk."""
         previously_warm = set(self.warm)
         warm: list[EndpointState] = []
         warming_up: list[EndpointState] = []
@@ -126,8 +126,8 @@
 
     def _spread_first_visit(self, endpoint: EndpointState, now_ms: float) -> None:
         """Set a random last attempt, so that not all gateways select a newly warm endpoint at once."""
-        pretended_at_ms = now_ms - self._rng.random() * self.visit_interval_ms
-        endpoint.last_attempt_at_ms = max(endpoint.last_attempt_at_ms, pretended_at_ms)
+        assumed_attempt_at_ms = now_ms - self._rng.random() * self.visit_interval_ms
+        endpoint.last_attempt_at_ms = max(endpoint.last_attempt_at_ms, assumed_attempt_at_ms)
 
     def warm_candidates(self) -> list[EndpointState]:
         """Return the warm endpoints to compare for one request, in rotation if there are many."""
--- a/api_gateway/decisions/subset_sizing.py
+++ b/api_gateway/decisions/subset_sizing.py
@@ -6,13 +6,13 @@
 from api_gateway.decisions.traffic import MIN_RATE, TrafficRates
 from api_gateway.model.settings import Settings
 
-# The subsets are sized so that this many of them contain an endpoint on average, as far as the traffic of
-# each gateway suffices for a request to each endpoint of its subset in SPARSE_VISIT_INTERVAL_MS.
+# Target for the mean number of subsets that contain an endpoint. A gateway uses a smaller subset if it sends
+# too few requests to reach each endpoint once in SPARSE_VISIT_INTERVAL_MS.
 TARGET_COVERAGE = 2.0
 SPARSE_VISIT_INTERVAL_MS = 1200.0
 GROWTH_FACTOR = 1.02  # Factor on the scale of the subset at each sweep while overloaded.
 SHRINK_FACTOR = 0.99  # Factor on the scale of the subset at each sweep while not overloaded.
-MAX_SCALE = 4.0  # The scale multiplies the size that the traffic alone calls for.
+MAX_SCALE = 4.0  # Limit on the factor by which overload enlarges the subset.
 OVERLOADED_ADMITTED_FRACTION = 0.9  # The back end counts as overloaded below this admitted fraction.
 MAX_VISIT_INTERVAL_FACTOR = 10  # Longest visit interval, as a multiple of the target.
 # A connection that has been idle for up to this fraction of the idle timeout is assumed to be open.
@@ -49,8 +49,8 @@
 
         Args:
             ring_size: Number of endpoints that are up.
-            is_overloaded: Whether load is shed, most endpoints are ejected, or there is more than one attempt
-                in flight for every two warm endpoints.
+            is_overloaded: Whether load is shed, most endpoints are ejected, or the attempts in flight exceed
+                half the number of warm endpoints.
         """
         subset, attempt_rate = self._subset, self._traffic.attempt_rate
         if is_overloaded:
--- a/api_gateway/decisions/tenants.py
+++ b/api_gateway/decisions/tenants.py
@@ -165,7 +165,7 @@
             plan=plan,
             gateway_count=gateway_count,
             now_ms=now_ms,
-            uptime_ms=self._uptime.age_ms(now_ms),
+            uptime_ms=self._uptime.elapsed_ms(now_ms),
             conditions=self._conditions,
         )
         return Tenant(
--- a/api_gateway/decisions/traffic.py
+++ b/api_gateway/decisions/traffic.py
@@ -77,7 +77,7 @@
         return decay_factor
 
     def sweep_warm_work(self, elapsed_ms: float, decay_factor: float, warm_endpoints: int) -> None:
-        """Update the rate of work on warm endpoints; without any, it stays as it is.
+        """Update the rate of work on warm endpoints; without any, it is unchanged.
 
         Args:
             elapsed_ms: Time since the last sweep, in milliseconds, above 0.
--- a/api_gateway/decisions/uptime.py
+++ b/api_gateway/decisions/uptime.py
@@ -24,7 +24,7 @@
         """Whether any event has been handled."""
         return self.started_at_ms is not None
 
-    def age_ms(self, now_ms: float) -> float:
+    def elapsed_ms(self, now_ms: float) -> float:
         """Return the time since the first event, in milliseconds."""
         return now_ms - (self.started_at_ms or 0.0)
 
--- a/testbed/scale/experiment.py
+++ b/testbed/scale/experiment.py
@@ -1,6 +1,6 @@
 """The scale experiment: runs a fleet with each size of the endpoint list and measures it.
 
-For each size, all processes are started anew. The fleet is measured without load, under load, and while some
+For each size, new processes are started. The fleet is measured without load, under load, and while some
 endpoints are replaced. With the largest list, it is also measured how many units are forwarded over quota
 while the counter rejects calls.
 """
